--- a/primrosewood/backends.py
+++ b/primrosewood/backends.py
@@ -1,4 +1,4 @@
-"""The model engine or plain service beside an endpoint, over HTTP."""
+"""HTTP clients of the back ends: model engines and plain services."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -31,32 +31,32 @@
     'StreamUnknownError',
 )
 
-_CONNECT_SECONDS = 1.0
-_LOAD_SECONDS = 1.0
-_ID = b'id: '
-_DATA = b'data: '
-_DONE = b'data: [DONE]\n\n'
-_NOT_TAKEN = frozenset(
+_CONNECT_TIMEOUT_SECONDS = 1.0
+_CONTROL_TIMEOUT_SECONDS = 1.0
+_ID_PREFIX = b'id: '
+_DATA_PREFIX = b'data: '
+_DONE_EVENT = b'data: [DONE]\n\n'
+_REFUSED_STATUSES = frozenset(
     (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 )
 
 
 class StreamUnknownError(PrimrosewoodError):
-    """The engine does not know, or no longer has, a stream."""
+    """The engine does not know the stream, or no longer has it."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineCall:
-    """A generation to start.
+    """Request to start a generation.
 
     Attributes
     ----------
     generation
         Identifier under which the engine keeps the stream.
     priority
-        Higher is served first under memory pressure.
+        Requests of higher priority go first under memory pressure.
     parameters
-        Further fields of the caller's request, as a JSON object.
+        Other fields of the caller's request, as a JSON object.
     """
 
     generation: str
@@ -69,7 +69,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineToken:
-    """One token; the last event has a finish reason and no token."""
+    """One token of a stream.
+
+    The last event of a stream has a finish reason and an empty piece.
+    """
 
     index: int
     piece: str
@@ -78,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """An engine's own report, which lags."""
+    """Load report of an engine, which lags behind its state."""
 
     running: int
     waiting: int
@@ -89,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlainCall:
-    """A call to a plain service."""
+    """Call to a plain service."""
 
     attempt: str
     method: str
@@ -100,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """A plain service's whole answer."""
+    """Complete answer of a plain service."""
 
     status: int
     content_type: str
@@ -108,7 +111,7 @@
 
 
 class Engine(Protocol):
-    """A model engine."""
+    """Interface of a model engine."""
 
     def generate(self, call: EngineCall) -> AsyncIterator[EngineToken]:
         """Start a generation and yield its tokens."""
@@ -116,27 +119,27 @@
     def resume(
         self, generation: str, offset: int
     ) -> AsyncIterator[EngineToken]:
-        """Yield a running or kept generation's tokens from an index on."""
+        """Yield the tokens of a known generation from an offset on."""
 
     async def cancel(self, generation: str) -> None:
         """Stop a generation."""
 
     async def read_load(self) -> EngineLoad:
-        """Return the engine's own report."""
+        """Return the load report of the engine."""
 
 
 class PlainService(Protocol):
-    """A plain HTTP service."""
+    """Interface of a plain service."""
 
     async def call(self, call: PlainCall) -> CallResult:
-        """Make the call once."""
+        """Make the call once, without retries."""
 
 
 class _HttpBackend:
-    """A backend's session."""
+    """HTTP session of a back end."""
 
     def __init__(self, url: str) -> None:
-        """Connect on the first call."""
+        """Prepare; the session is opened by the first call."""
         self._url = url.rstrip('/')
         self._lazy_session: aiohttp.ClientSession | None = None
 
@@ -149,14 +152,14 @@
         session = self._lazy_session
         if session is None:
             session = aiohttp.ClientSession(
-                # A kept connection may be closed by the back end in the very
-                # moment a call is written to it, and the call would end as
-                # unknown though it never ran. Beside the back end a new
-                # connection costs little.
+                # The back end may close an idle connection just as a call
+                # is written to it; the outcome of the call would be unknown
+                # although it never ran. The endpoint runs next to its back
+                # end, so a new connection per call costs little.
                 connector=aiohttp.TCPConnector(limit=0, force_close=True),
                 middlewares=(never_repeat,),
                 timeout=aiohttp.ClientTimeout(
-                    total=None, sock_connect=_CONNECT_SECONDS
+                    total=None, sock_connect=_CONNECT_TIMEOUT_SECONDS
                 ),
                 auto_decompress=False,
             )
@@ -165,7 +168,7 @@
 
 
 class HttpEngine(_HttpBackend):
-    """An engine with OpenAI-style completions, resume and cancel."""
+    """Client of an engine with OpenAI-style completions, resume, cancel."""
 
     async def generate(self, call: EngineCall) -> AsyncIterator[EngineToken]:
         """Start a generation and yield its tokens.
@@ -192,7 +195,7 @@
     async def resume(
         self, generation: str, offset: int
     ) -> AsyncIterator[EngineToken]:
-        """Yield a generation's tokens from an index on.
+        """Yield the tokens of a generation from an offset on.
 
         Raises
         ------
@@ -209,18 +212,21 @@
             raise BackendCutError(str(error)) from error
 
     async def cancel(self, generation: str) -> None:
-        """Stop a generation; an engine that is gone has stopped it."""
+        """Stop a generation; errors are ignored.
+
+        An engine that is gone has stopped the generation with it.
+        """
         try:
             async with self._session().delete(
                 f'{self._url}/v1/streams/{generation}',
-                timeout=aiohttp.ClientTimeout(total=_LOAD_SECONDS),
+                timeout=aiohttp.ClientTimeout(total=_CONTROL_TIMEOUT_SECONDS),
             ):
                 return
         except (aiohttp.ClientError, TimeoutError):
             return
 
     async def read_load(self) -> EngineLoad:
-        """Return the engine's own report.
+        """Return the load report of the engine.
 
         Raises
         ------
@@ -230,7 +236,7 @@
         try:
             async with self._session().get(
                 f'{self._url}/load',
-                timeout=aiohttp.ClientTimeout(total=_LOAD_SECONDS),
+                timeout=aiohttp.ClientTimeout(total=_CONTROL_TIMEOUT_SECONDS),
             ) as response:
                 return msgspec.json.decode(
                     await response.read(), type=EngineLoad
@@ -254,17 +260,17 @@
                 async for token in _read_tokens(response):
                     yield token
         except aiohttp.ClientConnectorError as error:
-            # No connection, so no byte of the call was written.
+            # Without a connection, no byte of the call was written.
             raise NotRunError(ErrorKind.no_endpoint, retry_seconds=1) from error
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise BackendCutError(type(error).__name__) from error
 
 
 class HttpService(_HttpBackend):
-    """A plain HTTP service; every answer of its own is passed on."""
+    """Client of a plain service; answers of any status are returned."""
 
     async def call(self, call: PlainCall) -> CallResult:
-        """Make the call once.
+        """Make the call once, without retries.
 
         Raises
         ------
@@ -296,7 +302,7 @@
 
 
 def _check_status(status: int) -> None:
-    if status in _NOT_TAKEN:
+    if status in _REFUSED_STATUSES:
         raise NotRunError(ErrorKind.overloaded, retry_seconds=1)
     if status == HTTPStatus.NOT_FOUND:
         raise StreamUnknownError
@@ -309,15 +315,16 @@
 ) -> AsyncIterator[EngineToken]:
     splitter = EventSplitter()
     async for chunk in response.content.iter_any():
-        for event in _split(splitter, chunk):
-            if event.endswith(_DONE):
+        for event in _split_events(splitter, chunk):
+            if event.endswith(_DONE_EVENT):
                 return
             yield _parse_event(event)
-    # The engine ends every stream with [DONE]; an end without it is a cut.
+    # The engine ends every stream with [DONE]; without it, the connection
+    # was cut.
     raise BackendCutError('the stream ended early')
 
 
-def _split(splitter: EventSplitter, chunk: bytes) -> list[bytes]:
+def _split_events(splitter: EventSplitter, chunk: bytes) -> list[bytes]:
     try:
         return splitter.feed(chunk)
     except WireError as error:
@@ -325,10 +332,10 @@
 
 
 def _parse_event(event: bytes) -> EngineToken:
-    head, _, data = event.partition(_DATA)
+    head, _, data = event.partition(_DATA_PREFIX)
     try:
         chunk = msgspec.json.decode(data, type=_Chunk)
-        index = int(head.removeprefix(_ID))
+        index = int(head.removeprefix(_ID_PREFIX))
     except (msgspec.DecodeError, ValueError) as error:
         raise BackendCutError('an event is malformed') from error
     choice = chunk.choices[0]
@@ -336,13 +343,13 @@
 
 
 class _Choice(msgspec.Struct):
-    """The part of a chunk's choice that is read."""
+    """Fields that are used of a choice in a chunk."""
 
     text: str = ''
     finish_reason: str | None = None
 
 
 class _Chunk(msgspec.Struct):
-    """The part of a chunk that is read."""
+    """Fields that are used of a chunk."""
 
     choices: Annotated[list[_Choice], msgspec.Meta(min_length=1)]
--- a/primrosewood/streams.py
+++ b/primrosewood/streams.py
@@ -1,4 +1,4 @@
-"""A generation's tokens: kept at the endpoint, counted at the entry."""
+"""Token streams: a buffer at the endpoint and a cursor at the entry."""
 
 from array import array
 
@@ -8,7 +8,7 @@
 
 
 class TokenBuffer:
-    """All tokens of one generation, packed, each readable by its index."""
+    """All tokens of one generation, stored compactly and read by index."""
 
     def __init__(self) -> None:
         """Start empty and unfinished."""
@@ -23,12 +23,12 @@
 
     @property
     def finish_reason(self) -> str:
-        """Why the engine ended, empty while it runs."""
+        """Finish reason from the engine, empty while the generation runs."""
         return self._finish_reason
 
     @property
     def failure(self) -> ErrorKind | None:
-        """How the generation failed, None when it did not."""
+        """Kind of the failure, None when the generation has not failed."""
         return self._failure
 
     @property
@@ -37,17 +37,17 @@
         return bool(self._finish_reason) or self._failure is not None
 
     def append(self, index: int, piece: str) -> bool:
-        """Add the token of an index.
+        """Append the token with an index.
 
         Returns
         -------
         bool
-            False for a repeat, which is dropped.
+            False for a duplicate or a token after the end; it is dropped.
 
         Raises
         ------
         WireError
-            The index leaves a gap.
+            Tokens are missing before the index.
         """
         if index > len(self._ends):
             raise WireError(f'token {index} after {len(self._ends)}')
@@ -58,17 +58,17 @@
         return True
 
     def finish(self, reason: str) -> None:
-        """Note the engine's end of the generation."""
+        """Record the finish reason, unless the generation has ended before."""
         if not self.ended:
             self._finish_reason = reason
 
     def fail(self, kind: ErrorKind) -> None:
-        """Note that the generation failed."""
+        """Record a failure, unless the generation has ended before."""
         if not self.ended:
             self._failure = kind
 
     def read(self, first: int, last: int) -> list[str]:
-        """Return the tokens of the indices in [first, last)."""
+        """Return the tokens with indices in [first, last)."""
         start = self._ends[first - 1] if first else 0
         pieces = []
         for end in self._ends[first:last]:
@@ -78,10 +78,10 @@
 
 
 class StreamCursor:
-    """Which tokens of one generation a receiver has.
+    """Position of a receiver in the token stream of one generation.
 
-    Tokens that come again, after a resume or from a delayed frame, are
-    dropped by their index, so each is handed on once and in order.
+    Duplicate tokens, after a resume or from a delayed frame, are dropped by
+    their index, so each token is forwarded once and in order.
     """
 
     def __init__(self, offset: int = 0) -> None:
@@ -94,7 +94,7 @@
         return self._offset
 
     def accept(self, offset: int, pieces: list[str]) -> list[str]:
-        """Return the new ones among the pieces that start at an index.
+        """Return the pieces that are new; the first has index `offset`.
 
         Raises
         ------
@@ -103,6 +103,6 @@
         """
         if offset > self._offset:
             raise WireError(f'token {offset} after {self._offset}')
-        fresh = pieces[self._offset - offset :]
-        self._offset += len(fresh)
-        return fresh
+        new_pieces = pieces[self._offset - offset :]
+        self._offset += len(new_pieces)
+        return new_pieces
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,4 +1,4 @@
-"""HTTP towards engines and plain services, against small raw servers."""
+"""Tests of the HTTP clients of back ends against scripted servers."""
 
 import asyncio
 import unittest
@@ -23,8 +23,8 @@
 _CALL = EngineCall('g-1', 'm', 'prompt', 5)
 
 
-class RawServer:
-    """Answers the n-th request of each connection as told."""
+class ScriptedServer:
+    """Sends the n-th of its answers to the n-th request of a connection."""
 
     def __init__(self, answers):
         self.answers = answers
@@ -59,15 +59,16 @@
 
 
 class ServiceTest(unittest.IsolatedAsyncioTestCase):
-    """Plain calls."""
+    """Calls to a plain service."""
 
-    async def test_connection_that_the_service_would_not_use_again(self):
-        """A service closes its connections when they have been idle.
+    async def test_each_call_opens_a_new_connection(self):
+        """A service closes idle connections.
 
-        A shop's second order of the day met such a connection, ended with an
-        unknown outcome and had to be looked up by hand, though it never ran.
+        The second call of a day met such a connection. Its outcome was
+        reported as unknown and had to be looked up by hand, although it
+        never ran.
         """
-        server = RawServer([[_OK], []])
+        server = ScriptedServer([[_OK], []])
         async with server as url:
             service = HttpService(url)
             call = PlainCall('a', 'POST', '/reorders', '', b'x')
@@ -75,8 +76,8 @@
             await service.close()
         self.assertEqual([200, 200, 200], statuses)
 
-    async def test_cut_before_an_answer_is_not_repeated(self):
-        server = RawServer([[]])
+    async def test_connection_lost_before_the_answer_is_not_repeated(self):
+        server = ScriptedServer([[]])
         async with server as url:
             service = HttpService(url)
             for method in ('GET', 'PUT', 'DELETE', 'POST'):
@@ -85,7 +86,7 @@
             await service.close()
         self.assertEqual(4, server.requests)
 
-    async def test_nobody_listens(self):
+    async def test_refused_connection_is_not_run(self):
         service = HttpService('http://127.0.0.1:1')
         with self.assertRaises(NotRunError):
             await service.call(PlainCall('a', 'POST', '/', '', b'x'))
@@ -93,10 +94,10 @@
 
 
 class EngineTest(unittest.IsolatedAsyncioTestCase):
-    """Streams."""
+    """Token streams of an engine."""
 
-    async def read(self, *parts):
-        async with RawServer([[_STREAM_HEAD, *parts]]) as url:
+    async def read_tokens(self, *parts):
+        async with ScriptedServer([[_STREAM_HEAD, *parts]]) as url:
             engine = HttpEngine(url)
             tokens = []
             try:
@@ -114,22 +115,22 @@
             b'id: 1\ndata: {"choices": [{"text": "", "finish_reason": "stop"}]}'
             b'\n\ndata: [DONE]\n\n'
         )
-        wanted = [(0, 'café ', ''), (1, '', 'stop')]
+        expected = [(0, 'café ', ''), (1, '', 'stop')]
         for size in (1, 7, 30, 500):
             parts = [body[at : at + size] for at in range(0, len(body), size)]
-            self.assertEqual(wanted, await self.read(*parts))
+            self.assertEqual(expected, await self.read_tokens(*parts))
 
     async def test_early_end_and_malformed_events(self):
-        good = b'id: 0\ndata: {"choices": [{"text": "a"}]}\n\n'
-        for bad in (
-            good,
-            good + b'id: x\ndata: {"choices": [{}]}\n\n',
+        valid = b'id: 0\ndata: {"choices": [{"text": "a"}]}\n\n'
+        for invalid in (
+            valid,
+            valid + b'id: x\ndata: {"choices": [{}]}\n\n',
             b'id: 0\ndata: {"choices": []}\n\n',
             b'id: 0\ndata: nonsense\n\n',
             b'\n\n',
         ):
             with self.assertRaises(BackendCutError):
-                await self.read(bad)
+                await self.read_tokens(invalid)
 
     async def test_refusals(self):
         for status, error in (
@@ -139,7 +140,7 @@
             (b'500 Broken', BackendCutError),
         ):
             head = b'HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n' % status
-            async with RawServer([[head]]) as url:
+            async with ScriptedServer([[head]]) as url:
                 engine = HttpEngine(url)
                 with self.assertRaises(error):
                     async for _token in engine.generate(_CALL):
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Tests of token buffers and cursors."""
+"""Tests of token buffers and stream cursors."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class TokenBufferTest(unittest.TestCase):
-    """The endpoint's side."""
+    """The buffer of an endpoint."""
 
     def test_reads_any_range(self):
         buffer = TokenBuffer()
@@ -38,12 +38,12 @@
 
 
 class StreamCursorTest(unittest.TestCase):
-    """The entry's side, under repeats, losses and restarts."""
+    """The cursor of an entry, with duplicate, lost and resumed frames."""
 
     @settings(derandomize=True, max_examples=300)
     @given(st.lists(st.tuples(st.integers(0, 12), st.integers(0, 6))))
     def test_hands_on_each_token_once_in_order(self, frames):
-        """Frames come again and overlap, some are lost on a cut link."""
+        """Frames are repeated and overlap; some are lost with a link."""
         tokens = [str(number) for number in range(12)]
         cursor = StreamCursor()
         received = []
