--- a/primrosewood/admission.py
+++ b/primrosewood/admission.py
@@ -1,10 +1,13 @@
-"""Final admission at an endpoint: run now, wait a bounded time, or refuse."""
+"""Admission control of an endpoint.
+
+An attempt starts at once, waits a bounded time in the queue, or is refused.
+"""
 
 from dataclasses import dataclass
 
 from .clock import Clock
 from .errors import ErrorKind, NotRunError
-from .fairness import FairQueue, Waiting
+from .fairness import FairQueue, QueuedRequest
 from .gen_wire import Load
 from .lengths import LengthBook
 from .memory import Booking, MemoryBook
@@ -12,30 +15,31 @@
 
 __all__ = ('Admission', 'AdmissionRequest')
 
-_DURATION_MEMORY = 0.1
-_MOST_PASSED = 8
-_SHORTEST_RETRY = 0.25
-_LONGEST_RETRY = 30.0
+_DURATION_SMOOTHING = 0.1
+_MAX_CANDIDATES = 8
+_MIN_RETRY_SECONDS = 0.25
+_MAX_RETRY_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """What admission knows of an attempt.
+    """An attempt that asks for admission.
 
     Attributes
     ----------
     name
-        The attempt.
+        Identifier of the attempt.
     organisation, share
-        Whose it is, and that organisation's weight.
+        Organisation that sent the request, and its weight in the fair queue.
     kind, template
-        Kind of request, and what its prompt begins with, for length groups.
+        Kind of request and digest of the beginning of its prompt; they
+        select the group for length prediction.
     prompt_tokens, longest
-        Tokens of the prompt, and the most that may be produced.
+        Tokens of the prompt, and the maximum number of output tokens.
     patience
-        Seconds it may wait.
+        Maximum time in the queue, in seconds.
     seconds_left
-        Seconds until its deadline.
+        Seconds until the deadline of the request.
     """
 
     name: str
@@ -50,28 +54,31 @@
 
     @property
     def group(self) -> tuple[str, ...]:
-        """Group of lengths, coarsest part first."""
+        """Group for length prediction, coarsest part first."""
         return (self.kind, self.organisation, self.template)
 
 
 class Admission:
-    """Limit, memory and fair queue of one endpoint, without I/O."""
+    """Concurrency limit, memory and fair queue of one endpoint.
+
+    It does no I/O.
+    """
 
     def __init__(
         self, clock: Clock, targets: Targets, queue_length: int, capacity: int
     ) -> None:
-        """Start cold, with nothing running.
+        """Start with the limit of a cold engine and no requests.
 
         Parameters
         ----------
         clock
             Source of monotonic time.
         targets
-            What the concurrency limit keeps to.
+            Bounds and latency targets of the concurrency limit.
         queue_length
-            Requests that may wait.
+            Maximum number of waiting requests.
         capacity
-            The engine's memory in tokens, 0 when it has none to speak of.
+            The engine's memory in tokens, 0 when it is unknown.
         """
         self._clock = clock
         self.limit = ConcurrencyLimit(targets)
@@ -85,16 +92,18 @@
 
     @property
     def running(self) -> int:
-        """Requests that run."""
+        """Number of running requests."""
         return len(self._running)
 
     @property
     def retry_seconds(self) -> float:
-        """When a refused request may come back, from the drain rate."""
-        return min(_LONGEST_RETRY, max(_SHORTEST_RETRY, self._estimate_wait()))
+        """Seconds until a refused request may retry, from the drain rate."""
+        return min(
+            _MAX_RETRY_SECONDS, max(_MIN_RETRY_SECONDS, self._estimate_wait())
+        )
 
     def load(self, leaving: bool = False, refusing: bool = False) -> Load:
-        """Return the load to report."""
+        """Return the load that is reported to the entries."""
         return Load(
             running=self.running,
             queued=len(self.queue),
@@ -105,22 +114,24 @@
         )
 
     def offer(self, request: AdmissionRequest) -> bool:
-        """Admit a request, or let it wait.
+        """Start a request or queue it.
 
         Returns
         -------
         bool
-            True when it runs, False when it waits.
+            True when it was started, False when it waits.
 
         Raises
         ------
         NotRunError
-            ``overloaded`` when it may not wait, or could not start in time.
+            ``overloaded`` when the queue has no place left for the
+            organisation, ``deadline_unmeetable`` when the request could
+            not start in time.
         """
         if not len(self.queue) and self._fits(request):
             self._start(request)
             return True
-        if not self.queue.has_room(request.organisation):
+        if not self.queue.may_wait(request.organisation):
             raise NotRunError(
                 ErrorKind.overloaded, retry_seconds=self.retry_seconds
             )
@@ -132,40 +143,50 @@
         return False
 
     def adopt(self, request: AdmissionRequest) -> None:
-        """Count a request that already runs at the engine."""
+        """Count a request that runs at the engine already."""
         self._start(request)
 
     def admit_waiting(self) -> list[AdmissionRequest]:
-        """Start every waiting request that now fits and return them."""
+        """Start all waiting requests that fit now, and return them."""
         started = []
-        request = self._next_fitting()
+        request = self._find_next_fitting()
         while request is not None:
             self.queue.remove(request.name)
             self._start(request)
             started.append(request)
-            request = self._next_fitting()
+            request = self._find_next_fitting()
         return started
 
     def expire(self) -> list[AdmissionRequest]:
-        """Take out and return the waiting whose time is up."""
-        late = self.queue.expire(self._clock.monotonic())
-        return [self._requests.pop(waiting.name) for waiting in late]
+        """Remove and return the requests that have waited too long."""
+        expired = self.queue.expire(self._clock.monotonic())
+        return [self._requests.pop(waiting.name) for waiting in expired]
 
     def drain(self) -> list[AdmissionRequest]:
-        """Take out and return all waiting requests."""
+        """Remove and return all waiting requests."""
         return [
             self._requests.pop(waiting.name) for waiting in self.queue.drain()
         ]
 
     def withdraw(self, name: str) -> bool:
-        """Take one waiting request out; False when it does not wait."""
+        """Remove a waiting request; return False when it does not wait."""
         if self.queue.remove(name) is None:
             return False
         self._requests.pop(name)
         return True
 
     def note_tokens(self, name: str, produced: int, added: int) -> None:
-        """Count tokens produced for a running request."""
+        """Record the tokens that a running request has produced.
+
+        Parameters
+        ----------
+        name
+            Identifier of the attempt.
+        produced
+            Tokens produced so far.
+        added
+            Tokens produced since the last call.
+        """
         self.memory.grow(name, produced)
         request = self._running.get(name)
         if request is not None:
@@ -177,11 +198,12 @@
         Parameters
         ----------
         name
-            The attempt.
+            Identifier of the attempt.
         produced
             Tokens it produced.
         whole
-            Whether it ran to its end, so that its length counts.
+            Whether the generation is complete; only then is its length
+            recorded for predictions.
         """
         request = self._running.pop(name, None)
         self._requests.pop(name, None)
@@ -190,28 +212,28 @@
             return
         if whole:
             self.lengths.observe(request.group, produced)
-        self._note_duration(self._started_at.pop(name))
+        self._record_duration(self._started_at.pop(name))
 
     def _estimate_wait(self) -> float:
-        """Return the time until one more waiting request would start.
+        """Return the seconds that a newly queued request would wait.
 
-        Each of the running ends after the mean duration on average, so the
-        queue drains by the limit in that time. Nothing is assumed before the
-        first request has ended.
+        As many requests as the limit allows end per mean duration. The
+        estimate is 0 until the first request has ended.
         """
-        ahead = len(self.queue) + 1
-        return ahead * self._mean_seconds / max(1, self.limit.limit)
+        position = len(self.queue) + 1
+        return position * self._mean_seconds / max(1, self.limit.limit)
 
-    def _next_fitting(self) -> AdmissionRequest | None:
+    def _find_next_fitting(self) -> AdmissionRequest | None:
         """Return the request to start next, None when none may start.
 
-        A request that does not fit lets others pass that do: the room they
-        take is too small for it, and a nearing deadline brings it forward.
+        A request that does not fit is passed by smaller ones that do: the
+        memory they take is too small for it, and it moves to the front as
+        its deadline approaches.
         """
         if self.running >= self.limit.limit:
             return None
         now = self._clock.monotonic()
-        for waiting in self.queue.candidates(now, _MOST_PASSED):
+        for waiting in self.queue.candidates(now, _MAX_CANDIDATES):
             request = self._requests[waiting.name]
             if self._fits(request):
                 return request
@@ -233,25 +255,27 @@
 
     def _enqueue(self, request: AdmissionRequest) -> None:
         now = self._clock.monotonic()
-        expected = self.lengths.predict(request.group, 0).remaining
+        expected_tokens = self.lengths.predict(request.group, 0).remaining
         self._requests[request.name] = request
         self.queue.push(
-            Waiting(
+            QueuedRequest(
                 name=request.name,
                 organisation=request.organisation,
                 share=request.share,
-                expected=min(expected, request.longest),
-                since=now,
-                until=now + request.patience,
+                expected_tokens=min(expected_tokens, request.longest),
+                queued_at=now,
+                latest_start=now + request.patience,
                 deadline=now + request.seconds_left,
             )
         )
 
-    def _note_duration(self, started_at: float) -> None:
+    def _record_duration(self, started_at: float) -> None:
         seconds = self._clock.monotonic() - started_at
         if not self._mean_seconds:
             self._mean_seconds = seconds
-        self._mean_seconds += _DURATION_MEMORY * (seconds - self._mean_seconds)
+        self._mean_seconds += _DURATION_SMOOTHING * (
+            seconds - self._mean_seconds
+        )
 
 
 def _make_booking(request: AdmissionRequest) -> Booking:
--- a/primrosewood/fairness.py
+++ b/primrosewood/fairness.py
@@ -1,65 +1,70 @@
-"""Fair queueing over organisations by tokens served."""
+"""Weighted fair queueing over organisations by tokens served."""
 
 import heapq
 import math
 from dataclasses import dataclass, field
 
-__all__ = ('FairQueue', 'Waiting')
+__all__ = ('FairQueue', 'QueuedRequest')
 
-_BAND_TOKENS = 3000.0
+_EQUAL_SERVICE_TOKENS = 3000.0
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedRequest:
     """A request that waits for admission.
 
     Attributes
     ----------
     name
-        The attempt.
+        Identifier of the attempt.
     organisation, share
-        Whose request it is, and that organisation's weight.
-    expected
+        Organisation that sent the request, and its weight.
+    expected_tokens
         Expected tokens of the answer.
-    since, until, deadline
-        When it began to wait, its latest start and the end of its answer's
-        use, monotonic seconds.
+    queued_at, latest_start, deadline
+        Time of arrival in the queue, time when the wait is given up, and
+        deadline of the answer, in monotonic seconds.
     """
 
     name: str
     organisation: str
     share: float
-    expected: float
-    since: float
-    until: float
+    expected_tokens: float
+    queued_at: float
+    latest_start: float
     deadline: float
 
 
 @dataclass(slots=True)
 class _Flow:
+    """Queue and service of one organisation.
+
+    `served` counts tokens divided by the organisation's weight.
+    """
+
     served: float = 0.0
     share: float = 1.0
-    waiting: list[Waiting] = field(default_factory=list)
+    waiting: list[QueuedRequest] = field(default_factory=list)
 
 
 class FairQueue:
-    """Bounded queue that serves the organisation furthest behind its share.
+    """Bounded queue that serves the organisation furthest below its share.
 
     Service is counted in tokens, not requests: an organisation that asks for
-    long answers gets fewer of them. Short expected answers go first, but a
-    nearing deadline makes any request go before others, so a long one is not
-    passed over for ever.
+    long answers gets fewer of them. Requests with short expected answers go
+    first, but the priority of every request rises as its deadline approaches,
+    so long ones do not starve.
     """
 
-    def __init__(self, longest: int) -> None:
+    def __init__(self, capacity: int) -> None:
         """Start empty.
 
         Parameters
         ----------
-        longest
-            Requests that may wait.
+        capacity
+            Maximum number of waiting requests.
         """
-        self._longest = longest
+        self._capacity = capacity
         self._flows: dict[str, _Flow] = {}
         self._count = 0
 
@@ -67,56 +72,57 @@
         """Return the number of waiting requests."""
         return self._count
 
-    def has_room(self, organisation: str) -> bool:
-        """Tell whether one more request of an organisation may wait.
+    def may_wait(self, organisation: str) -> bool:
+        """Return whether one more request of an organisation may wait.
 
-        A full queue still leaves each organisation its even part, so that a
-        large one cannot shut out a small one.
+        Beyond its capacity the queue still accepts an organisation with less
+        than an equal part of it, so that a large organisation cannot shut
+        out a small one.
         """
-        if self._count < self._longest:
+        if self._count < self._capacity:
             return True
         flow = self._flows.get(organisation)
         waiting = len(flow.waiting) if flow else 0
-        busy = sum(1 for other in self._flows.values() if other.waiting)
-        return waiting < self._longest // (busy + 1)
+        active = sum(1 for other in self._flows.values() if other.waiting)
+        return waiting < self._capacity // (active + 1)
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedRequest) -> None:
         """Add a request."""
-        flow = self._flow(waiting.organisation, waiting.share)
+        flow = self._get_flow(waiting.organisation, waiting.share)
         if not flow.waiting:
-            # No credit is saved up by asking for nothing.
+            # An idle organisation does not accumulate credit.
             flow.served = max(flow.served, self._least_served())
         flow.waiting.append(waiting)
         self._count += 1
 
-    def candidates(self, now: float, most: int) -> list[Waiting]:
-        """Return the requests to be served next, the first one first.
+    def candidates(self, now: float, max_count: int) -> list[QueuedRequest]:
+        """Return the requests to be served next, in order of priority.
 
-        Organisations whose service differs by less than a band count as even,
-        and among their requests the urgent and the short go first; so an
-        organisation's share holds over time, and a certificate does not miss
-        its deadline for a handful of tokens.
+        Organisations whose service exceeds the least by no more than
+        `_EQUAL_SERVICE_TOKENS` count as equal, and among their requests
+        urgent and short ones go first. Shares thus hold over time, but no
+        request misses its deadline over a difference of a few tokens.
 
         Parameters
         ----------
         now
             Monotonic seconds.
-        most
-            How many to return at the most.
+        max_count
+            Maximum number of requests to return.
         """
-        limit = self._least_served() + _BAND_TOKENS
-        even = (
+        max_served = self._least_served() + _EQUAL_SERVICE_TOKENS
+        eligible = (
             waiting
             for flow in self._flows.values()
             for waiting in flow.waiting
-            if flow.served <= limit
+            if flow.served <= max_served
         )
         return heapq.nsmallest(
-            most, even, key=lambda waiting: _rank(waiting, now)
+            max_count, eligible, key=lambda waiting: _rank_urgency(waiting, now)
         )
 
-    def remove(self, name: str) -> Waiting | None:
-        """Take a request out, wherever it stands."""
+    def remove(self, name: str) -> QueuedRequest | None:
+        """Remove and return a request, None when it does not wait."""
         for flow in self._flows.values():
             for waiting in flow.waiting:
                 if waiting.name == name:
@@ -126,30 +132,34 @@
         return None
 
     def charge(self, organisation: str, share: float, tokens: float) -> None:
-        """Count tokens served to an organisation."""
-        flow = self._flow(organisation, share)
+        """Add tokens to the service that an organisation has received."""
+        flow = self._get_flow(organisation, share)
         flow.served += tokens / flow.share
 
-    def expire(self, now: float) -> list[Waiting]:
-        """Take out and return all whose latest start has passed."""
-        late = [each for each in self._all() if each.until <= now]
-        for waiting in late:
+    def expire(self, now: float) -> list[QueuedRequest]:
+        """Remove and return all requests whose latest start has passed."""
+        expired = [
+            request
+            for request in self._list_waiting()
+            if request.latest_start <= now
+        ]
+        for waiting in expired:
             self.remove(waiting.name)
-        return late
+        return expired
 
-    def drain(self) -> list[Waiting]:
-        """Take out and return all."""
-        everything = self._all()
-        for waiting in everything:
+    def drain(self) -> list[QueuedRequest]:
+        """Remove and return all requests."""
+        drained = self._list_waiting()
+        for waiting in drained:
             self.remove(waiting.name)
-        return everything
+        return drained
 
-    def _all(self) -> list[Waiting]:
+    def _list_waiting(self) -> list[QueuedRequest]:
         return [
             waiting for flow in self._flows.values() for waiting in flow.waiting
         ]
 
-    def _flow(self, organisation: str, share: float) -> _Flow:
+    def _get_flow(self, organisation: str, share: float) -> _Flow:
         flow = self._flows.get(organisation)
         if flow is None:
             flow = self._flows.setdefault(organisation, _Flow())
@@ -158,10 +168,11 @@
         return flow
 
     def _least_served(self) -> float:
-        busy = [flow.served for flow in self._flows.values() if flow.waiting]
-        return min(busy, default=0.0)
+        active = [flow.served for flow in self._flows.values() if flow.waiting]
+        return min(active, default=0.0)
 
 
-def _rank(waiting: Waiting, now: float) -> float:
-    left = max(0, waiting.deadline - now)
-    return math.sqrt(waiting.expected) * left
+def _rank_urgency(waiting: QueuedRequest, now: float) -> float:
+    """Return a sort key; requests with lower values go first."""
+    seconds_left = max(0, waiting.deadline - now)
+    return math.sqrt(waiting.expected_tokens) * seconds_left
--- a/primrosewood/lengths.py
+++ b/primrosewood/lengths.py
@@ -1,4 +1,4 @@
-"""Lengths of finished generations, and what they say of running ones."""
+"""Predicts the lengths of running generations from finished ones."""
 
 import bisect
 import math
@@ -7,23 +7,24 @@
 
 __all__ = ('HORIZONS', 'LengthBook', 'LengthHistogram', 'Outlook')
 
+# Numbers of further tokens that a forecast covers.
 HORIZONS = (32, 64, 128, 256, 512, 1024, 2048)
 
-_FIRST_EDGE = 8
+_FIRST_EDGE_TOKENS = 8
 _EDGE_RATIO = 1.25
-_LONGEST = 100_000
-_HALF_LIFE = 400
-_REFRESH_EVERY = 16
-_ENOUGH = 24
-_PRIOR_MEAN = 400
-_MOST_GROUPS = 1024
+_LAST_EDGE_TOKENS = 100_000
+_HALF_LIFE_OBSERVATIONS = 400
+_REBUILD_OBSERVATIONS = 16
+_MIN_OBSERVATIONS = 24
+_PRIOR_MEAN_TOKENS = 400
+_MAX_GROUPS = 1024
 
 Group = tuple[str, ...]
 
 
 def _make_edges() -> list[int]:
-    edges = [0, _FIRST_EDGE]
-    while edges[-1] < _LONGEST:
+    edges = [0, _FIRST_EDGE_TOKENS]
+    while edges[-1] < _LAST_EDGE_TOKENS:
         edges.append(int(edges[-1] * _EDGE_RATIO) + 1)
     return edges
 
@@ -33,14 +34,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Outlook:
-    """What may become of one generation.
+    """Forecast for one running generation.
 
     Attributes
     ----------
     alive
-        Chance that it still runs after each of `HORIZONS` more tokens.
+        Probability that it is still running after each of `HORIZONS` more
+        tokens.
     remaining
-        Expected tokens until its end.
+        Expected number of tokens until its end.
     """
 
     alive: tuple[float, ...]
@@ -50,116 +52,129 @@
 class LengthHistogram:
     """Decaying histogram of output lengths in geometric buckets.
 
-    What counts for a running generation is how many more tokens it may
-    produce given what it has, which rises with age when lengths are
-    heavy-tailed; it is read from a table that is rebuilt after every few
-    observations.
+    A forecast is conditional on the tokens produced so far: with
+    heavy-tailed lengths, the expected remainder rises with age. Forecasts
+    are read from a table that is rebuilt after every few observations.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without observations."""
         self._counts = [0.0 for _ in _EDGES]
-        self._seen = 0
-        self._table: list[Outlook] = []
+        self._observations = 0
+        self._forecasts: list[Outlook] = []
 
     @property
-    def seen(self) -> int:
+    def observations(self) -> int:
         """Number of lengths observed."""
-        return self._seen
+        return self._observations
 
     def observe(self, length: int) -> None:
         """Add the length of a finished generation, in tokens."""
-        self._seen += 1
-        keep = 0.5 ** (1 / _HALF_LIFE)
-        self._counts = [count * keep for count in self._counts]
+        self._observations += 1
+        decay = 0.5 ** (1 / _HALF_LIFE_OBSERVATIONS)
+        self._counts = [count * decay for count in self._counts]
         self._counts[bisect.bisect_left(_EDGES, length) - 1] += 1
-        if self._seen % _REFRESH_EVERY == 0 or self._seen == _ENOUGH:
-            self._table = []
+        if (
+            self._observations % _REBUILD_OBSERVATIONS == 0
+            or self._observations == _MIN_OBSERVATIONS
+        ):
+            self._forecasts = []
 
     def predict(self, produced: int) -> Outlook:
-        """Return the outlook of a generation that has produced so many."""
-        if not self._table:
-            self._table = self._build_table()
-        return self._table[bisect.bisect_right(_EDGES, produced) - 1]
-
-    def _build_table(self) -> list[Outlook]:
-        survival = self._sum_tails()
-        return [self._look_from(edge, survival) for edge in _EDGES]
-
-    def _sum_tails(self) -> list[float]:
-        """Return the weight of the lengths beyond each edge."""
-        tails = []
-        beyond = 0.0
+        """Return the forecast for a generation with `produced` tokens."""
+        if not self._forecasts:
+            self._forecasts = self._build_forecasts()
+        return self._forecasts[bisect.bisect_right(_EDGES, produced) - 1]
+
+    def _build_forecasts(self) -> list[Outlook]:
+        survival = self._sum_survival()
+        return [self._forecast_from(edge, survival) for edge in _EDGES]
+
+    def _sum_survival(self) -> list[float]:
+        """Return the weight of all lengths beyond each edge."""
+        survival = []
+        weight = 0.0
         for count in reversed(self._counts):
-            beyond += count
-            tails.append(beyond)
-        tails.reverse()
-        return tails
-
-    def _look_from(self, produced: int, survival: list[float]) -> Outlook:
-        here = _interpolate(produced, survival)
-        if here <= 0:
-            # Longer than anything seen: expect as much again.
-            return _fading_outlook(max(produced, _FIRST_EDGE))
+            weight += count
+            survival.append(weight)
+        survival.reverse()
+        return survival
+
+    def _forecast_from(self, produced: int, survival: list[float]) -> Outlook:
+        surviving = _interpolate(produced, survival)
+        if surviving <= 0:
+            # Longer than any observed length: expect as many tokens again.
+            return _exponential_forecast(max(produced, _FIRST_EDGE_TOKENS))
         alive = tuple(
-            _interpolate(produced + ahead, survival) / here
+            _interpolate(produced + ahead, survival) / surviving
             for ahead in HORIZONS
         )
-        return Outlook(alive, self._mean_beyond(produced) / here)
+        return Outlook(alive, self._sum_remaining(produced) / surviving)
 
-    def _mean_beyond(self, produced: int) -> float:
+    def _sum_remaining(self, produced: int) -> float:
         return sum(
-            count * max(1, _middle(bucket) - produced)
+            count * max(1, _midpoint(bucket) - produced)
             for bucket, count in enumerate(self._counts)
-            if _middle(bucket) > produced
+            if _midpoint(bucket) > produced
         )
 
 
 class LengthBook:
-    """Histograms by group, with coarser groups where one is thin."""
+    """Length histograms by group.
+
+    A group with few observations falls back to the next coarser one.
+    """
 
     def __init__(self) -> None:
         """Start without observations."""
         self._histograms: OrderedDict[Group, LengthHistogram] = OrderedDict()
-        self._prior = _fading_outlook(_PRIOR_MEAN)
+        self._prior = _exponential_forecast(_PRIOR_MEAN_TOKENS)
 
     def observe(self, group: Group, length: int) -> None:
-        """Add a length to a group and to all coarser ones."""
+        """Add a length in tokens to a group and to all coarser ones."""
         for size in range(len(group) + 1):
-            name = group[:size]
-            histogram = self._histograms.get(name)
+            prefix = group[:size]
+            histogram = self._histograms.get(prefix)
             if histogram is None:
-                histogram = self._histograms.setdefault(name, LengthHistogram())
+                histogram = self._histograms.setdefault(
+                    prefix, LengthHistogram()
+                )
             histogram.observe(length)
-            self._histograms.move_to_end(name)
-        # Groups come from callers' prompts, so their number is bounded.
-        while len(self._histograms) > _MOST_GROUPS:
+            self._histograms.move_to_end(prefix)
+        # Callers' prompts determine the groups, so their number is bounded;
+        # the least recently updated ones are dropped.
+        while len(self._histograms) > _MAX_GROUPS:
             self._histograms.popitem(last=False)
 
     def predict(self, group: Group, produced: int) -> Outlook:
-        """Return the outlook by the finest group that has seen enough."""
+        """Return the forecast of the finest group with enough observations."""
         for size in range(len(group), -1, -1):
             histogram = self._histograms.get(group[:size])
-            if histogram is not None and histogram.seen >= _ENOUGH:
+            if (
+                histogram is not None
+                and histogram.observations >= _MIN_OBSERVATIONS
+            ):
                 return histogram.predict(produced)
         return self._prior
 
 
 def _interpolate(length: float, survival: list[float]) -> float:
-    """Return the weight beyond a length that lies between two edges."""
+    """Return the weight beyond a length, linear between two edges."""
     bucket = bisect.bisect_right(_EDGES, length) - 1
     if bucket + 1 >= len(_EDGES):
         return survival[-1]
     low, high = _EDGES[bucket], _EDGES[bucket + 1]
-    share = (length - low) / (high - low)
-    return survival[bucket] + share * (survival[bucket + 1] - survival[bucket])
+    fraction = (length - low) / (high - low)
+    return survival[bucket] + fraction * (
+        survival[bucket + 1] - survival[bucket]
+    )
 
 
-def _fading_outlook(mean: float) -> Outlook:
+def _exponential_forecast(mean: float) -> Outlook:
     return Outlook(tuple(math.exp(-ahead / mean) for ahead in HORIZONS), mean)
 
 
-def _middle(bucket: int) -> float:
+def _midpoint(bucket: int) -> float:
     if bucket + 1 >= len(_EDGES):
         return _EDGES[-1]
     return (_EDGES[bucket] + _EDGES[bucket + 1]) / 2
--- a/primrosewood/memory.py
+++ b/primrosewood/memory.py
@@ -1,4 +1,4 @@
-"""Booking of an engine's memory for generations of unknown length."""
+"""Tracks an engine's KV cache memory for generations of unknown length."""
 
 import math
 from dataclasses import dataclass
@@ -7,18 +7,28 @@
 
 __all__ = ('Booking', 'MemoryBook')
 
-_SPREADS = 3.0
-_MOST_SPREADS = 4.0
-_STEP_UP = 0.1
-_STEP_DOWN = 0.01
-_UNLIKELY = 0.1
-_STALE_TOKENS = 32
+_MIN_DEVIATIONS = 3.0
+_MAX_DEVIATIONS = 4.0
+_DEVIATIONS_PER_PREEMPTION = 0.1
+_DEVIATIONS_PER_FINISH = 0.01
+_MIN_SURVIVAL = 0.1
+_REFRESH_TOKENS = 32
 _PERMILLE = 1000
 
 
 @dataclass(slots=True)
 class Booking:
-    """Memory that one generation holds and may come to hold, in tokens."""
+    """KV cache memory of one generation, now and at most, in tokens.
+
+    Attributes
+    ----------
+    group
+        Group for length prediction, coarsest part first.
+    prompt, longest
+        Tokens of the prompt, and the maximum number of output tokens.
+    produced
+        Output tokens produced so far.
+    """
 
     group: tuple[str, ...]
     prompt: int
@@ -32,135 +42,141 @@
 
 
 class MemoryBook:
-    """Pooled bookings of one engine.
-
-    For each of a few horizons, a generation that still runs then holds what
-    it holds now and the horizon more, and one that has ended holds nothing.
-    The sum over all has a mean and a spread. A generation is admitted when
-    the mean and some spreads stay under the capacity at every horizon that
-    it may live to see itself: what happens after its end is not its doing,
-    so a short answer is not kept waiting by what long ones may become. How
-    many spreads are kept free is learned: a preemption raises the number,
-    each finished generation lowers it towards its start.
+    """Estimates whether one more generation fits into an engine's memory.
+
+    For each of a few horizons (numbers of tokens ahead), a generation that
+    is still running then holds its current tokens plus the horizon, and one
+    that has ended holds nothing. The sum over all generations has a mean and
+    a standard deviation. A generation is admitted when the mean plus a
+    multiple of the standard deviation stays within the capacity at every
+    horizon that it may reach itself: it does not add to the demand after its
+    end, so a short answer need not wait for the later growth of long ones.
+    The multiple adapts: each preemption raises it, and each finished
+    generation lowers it towards its initial value.
 
     Parameters
     ----------
     capacity
-        The engine's memory in tokens; 0 when it is not known, which admits
-        everything.
+        The engine's memory in tokens; 0 when it is not known, in which case
+        everything is admitted.
     lengths
-        Lengths seen at this endpoint.
+        Predicts how long generations continue.
     """
 
     def __init__(self, capacity: int, lengths: LengthBook) -> None:
-        """Start with nothing booked."""
+        """Start without generations."""
         self.capacity = capacity
         self._lengths = lengths
         self._bookings: dict[str, Booking] = {}
-        self._spreads = _SPREADS
-        self._totals: list[_Hold] = []
-        self._grown = _STALE_TOKENS
+        self._deviations = _MIN_DEVIATIONS
+        self._totals: list[_MemoryDemand] = []
+        self._tokens_since_refresh = _REFRESH_TOKENS
 
     @property
-    def spreads(self) -> float:
-        """Spreads that are kept free."""
-        return self._spreads
+    def deviations(self) -> float:
+        """Standard deviations that are kept free above the mean."""
+        return self._deviations
 
     @property
     def permille(self) -> int:
-        """Memory to reckon with soon in thousandths of the capacity."""
+        """Demand at the first horizon, in thousandths of the capacity."""
         if not self.capacity:
             return 0
-        booked = self._reckon(self._read_totals()[0])
-        return int(booked * _PERMILLE / self.capacity)
+        demand = self._bound_demand(self._get_totals()[0])
+        return int(demand * _PERMILLE / self.capacity)
 
     def fits(self, booking: Booking) -> bool:
-        """Tell whether one more generation fits.
+        """Return whether one more generation fits.
 
-        An engine that holds nothing takes any generation: waiting longer
-        would not make more room.
+        An idle engine takes any generation: waiting would not free memory.
         """
         if not self.capacity or not self._bookings:
             return True
         alive = self._lengths.predict(booking.group, booking.produced).alive
         return all(
-            self._reckon(total.plus(_hold(booking, index, alive)))
+            self._bound_demand(
+                total.plus(_estimate_demand(booking, index, alive))
+            )
             <= self.capacity
-            for index, total in enumerate(self._read_totals())
-            if alive[index] >= _UNLIKELY or not index
+            for index, total in enumerate(self._get_totals())
+            if alive[index] >= _MIN_SURVIVAL or not index
         )
 
     def add(self, name: str, booking: Booking) -> None:
-        """Book a generation."""
+        """Add a generation."""
         self._bookings[name] = booking
-        self._grown = _STALE_TOKENS
+        self._tokens_since_refresh = _REFRESH_TOKENS
 
     def grow(self, name: str, produced: int) -> None:
-        """Note how many tokens a generation has produced."""
+        """Record how many tokens a generation has produced."""
         booking = self._bookings.get(name)
         if booking is not None:
-            self._grown += produced - booking.produced
+            self._tokens_since_refresh += produced - booking.produced
             booking.produced = produced
 
     def remove(self, name: str) -> None:
-        """Release a generation; unknown names are no fault."""
+        """Remove a generation; unknown names are ignored."""
         self._bookings.pop(name, None)
-        self._grown = _STALE_TOKENS
-        self._spreads = max(_SPREADS, self._spreads - _STEP_DOWN)
+        self._tokens_since_refresh = _REFRESH_TOKENS
+        self._deviations = max(
+            _MIN_DEVIATIONS, self._deviations - _DEVIATIONS_PER_FINISH
+        )
 
     def note_preemptions(self, count: int) -> None:
-        """Keep more free after the engine ran out of memory."""
-        raised = self._spreads + count * _STEP_UP
-        self._spreads = min(_MOST_SPREADS, raised)
+        """Keep more memory free after preemptions at the engine."""
+        deviations = self._deviations + count * _DEVIATIONS_PER_PREEMPTION
+        self._deviations = min(_MAX_DEVIATIONS, deviations)
 
-    def _reckon(self, hold: '_Hold') -> float:
-        """Return the memory to reckon with."""
-        spread = math.sqrt(hold.variance)
-        return min(hold.worst, hold.mean + self._spreads * spread)
+    def _bound_demand(self, demand: '_MemoryDemand') -> float:
+        """Return an upper bound of a demand, in tokens."""
+        deviation = math.sqrt(demand.variance)
+        return min(demand.worst, demand.mean + self._deviations * deviation)
 
-    def _read_totals(self) -> list['_Hold']:
-        """Return the holds of all bookings at each horizon.
+    def _get_totals(self) -> list['_MemoryDemand']:
+        """Return the demand of all bookings at each horizon.
 
-        They are summed anew after a change of the bookings, or after some
-        tokens; each admission then costs the same however many there are.
+        It is recomputed after a booking is added or removed and after every
+        few tokens, so a check takes the same time for any number of bookings.
         """
-        if self._grown >= _STALE_TOKENS:
-            self._totals = self._sum_holds()
-            self._grown = 0
+        if self._tokens_since_refresh >= _REFRESH_TOKENS:
+            self._totals = self._sum_demands()
+            self._tokens_since_refresh = 0
         return self._totals
 
-    def _sum_holds(self) -> list['_Hold']:
-        totals = [_Hold(0, 0, 0) for _ in HORIZONS]
+    def _sum_demands(self) -> list['_MemoryDemand']:
+        totals = [_MemoryDemand(0, 0, 0) for _ in HORIZONS]
         for booking in self._bookings.values():
-            outlook = self._lengths.predict(booking.group, booking.produced)
+            forecast = self._lengths.predict(booking.group, booking.produced)
             for index, total in enumerate(totals):
-                total.add(_hold(booking, index, outlook.alive))
+                total.add(_estimate_demand(booking, index, forecast.alive))
         return totals
 
 
 @dataclass(slots=True)
-class _Hold:
-    """Memory at one horizon, in tokens."""
+class _MemoryDemand:
+    """Memory at one horizon, in tokens; `worst` if nothing ends before."""
 
     worst: float
     mean: float
     variance: float
 
-    def add(self, other: '_Hold') -> None:
+    def add(self, other: '_MemoryDemand') -> None:
         self.worst += other.worst
         self.mean += other.mean
         self.variance += other.variance
 
-    def plus(self, other: '_Hold') -> '_Hold':
-        return _Hold(
+    def plus(self, other: '_MemoryDemand') -> '_MemoryDemand':
+        return _MemoryDemand(
             self.worst + other.worst,
             self.mean + other.mean,
             self.variance + other.variance,
         )
 
 
-def _hold(booking: Booking, index: int, alive: tuple[float, ...]) -> _Hold:
-    most = booking.prompt + booking.longest
-    then = min(most, booking.held + HORIZONS[index])
-    mean = alive[index] * then
-    return _Hold(then, mean, mean * (then - mean))
+def _estimate_demand(
+    booking: Booking, index: int, alive: tuple[float, ...]
+) -> _MemoryDemand:
+    max_held = booking.prompt + booking.longest
+    projected = min(max_held, booking.held + HORIZONS[index])
+    mean = alive[index] * projected
+    return _MemoryDemand(projected, mean, mean * (projected - mean))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: limit, memory, fair queue, as one without I/O."""
+"""Admission, fair queueing, length prediction and memory, without I/O."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class ManualClock:
-    """Time that a test moves."""
+    """Clock that a test advances."""
 
     def __init__(self):
         self.now = 1000.0
@@ -25,14 +25,24 @@
         return self.now
 
 
-def make_request(name, organisation='o', patience=5.0, longest=100, left=60):
+def make_request(
+    name, organisation='o', patience=5.0, longest=100, seconds_left=60
+):
     return AdmissionRequest(
-        name, organisation, 1.0, 'whole', 't', 10, longest, patience, left
+        name,
+        organisation,
+        1.0,
+        'whole',
+        't',
+        10,
+        longest,
+        patience,
+        seconds_left,
     )
 
 
 class AdmissionTest(unittest.TestCase):
-    """Run now, wait, or refuse."""
+    """Requests start, wait or are refused."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -49,7 +59,7 @@
         self.assertGreater(caught.exception.retry_seconds, 0)
 
     def test_small_organisation_is_not_shut_out(self):
-        """A large organisation has filled the queue."""
+        """A large organisation fills the queue before a small one asks."""
         for number in range(6):
             self.admission.offer(make_request(str(number), 'large'))
         self.assertFalse(self.admission.offer(make_request('s', 'small')))
@@ -61,7 +71,7 @@
         started = self.admission.admit_waiting()
         self.assertEqual(['2'], [request.name for request in started])
 
-    def test_patience_ends(self):
+    def test_expires_when_patience_ends(self):
         for number in range(3):
             self.admission.offer(make_request(str(number)))
         self.clock.now += 6
@@ -69,7 +79,7 @@
         self.assertEqual(0, len(self.admission.queue))
 
     def test_refuses_at_once_what_cannot_start_in_time(self):
-        """Answers take ten seconds, and the caller waits for one."""
+        """Answers take ten seconds, but the caller waits only for one."""
         self.admission.offer(make_request('0'))
         self.clock.now += 10
         self.admission.finish('0', 10, whole=True)
@@ -90,8 +100,8 @@
             max_size=60,
         )
     )
-    def test_every_request_is_in_one_place(self, events):
-        """Requests come, end, are withdrawn and time out in any order."""
+    def test_every_request_runs_or_waits_exactly_once(self, events):
+        """Requests arrive, end, are withdrawn and expire in any order."""
         self.setUp()
         running, waiting = set(), set()
         for event, number in events:
@@ -124,10 +134,10 @@
 
 
 class FairnessTest(unittest.TestCase):
-    """Shares over organisations by tokens."""
+    """Organisations share an endpoint by tokens."""
 
-    def test_tokens_count_not_requests(self):
-        """One asks for answers of 900 tokens, another of 100."""
+    def test_shares_by_tokens_not_requests(self):
+        """One organisation asks for answers of 900 tokens, another of 100."""
         clock = ManualClock()
         targets = Targets(start=1, most=1, first_token=1, between_tokens=1)
         admission = Admission(clock, targets, 10_000, 0)
@@ -151,49 +161,50 @@
 
 
 class LengthTest(unittest.TestCase):
-    """What finished lengths say of running generations."""
+    """Predictions for running generations from finished lengths."""
 
-    def test_outlook_rises_with_age_for_mixtures(self):
-        """Half the answers are short; who passes that has far to go."""
+    def test_remaining_length_rises_with_age_for_mixtures(self):
+        """Half the answers are short, and the others are very long."""
         histogram = LengthHistogram()
         for _ in range(200):
             histogram.observe(20)
             histogram.observe(2000)
-        young, old = histogram.predict(0), histogram.predict(100)
-        self.assertLess(young.remaining, old.remaining)
-        self.assertAlmostEqual(0.5, young.alive[2], delta=0.1)
-        self.assertAlmostEqual(1.0, old.alive[2], delta=0.05)
+        initial, later = histogram.predict(0), histogram.predict(100)
+        self.assertLess(initial.remaining, later.remaining)
+        self.assertAlmostEqual(0.5, initial.alive[2], delta=0.1)
+        self.assertAlmostEqual(1.0, later.alive[2], delta=0.05)
 
-    def test_thin_group_falls_back(self):
-        book = LengthBook()
+    def test_sparse_group_falls_back(self):
+        predictor = LengthBook()
         for _ in range(50):
-            book.observe(('streamed', 'a'), 1000)
+            predictor.observe(('streamed', 'a'), 1000)
         self.assertEqual(
-            book.predict(('streamed',), 0), book.predict(('streamed', 'b'), 0)
+            predictor.predict(('streamed',), 0),
+            predictor.predict(('streamed', 'b'), 0),
         )
 
     @settings(derandomize=True, max_examples=200)
     @given(
         st.lists(st.integers(1, 50_000), max_size=60), st.integers(0, 200_000)
     )
-    def test_chances_never_rise_with_the_horizon(self, lengths, produced):
+    def test_survival_never_rises_with_the_horizon(self, lengths, produced):
         histogram = LengthHistogram()
         for length in lengths:
             histogram.observe(length)
-        outlook = histogram.predict(produced)
-        self.assertEqual(len(HORIZONS), len(outlook.alive))
+        forecast = histogram.predict(produced)
+        self.assertEqual(len(HORIZONS), len(forecast.alive))
         previous = 1.0 + 1e-9
-        for chance in outlook.alive:
-            self.assertLessEqual(chance, previous + 1e-9)
-            self.assertGreaterEqual(chance, -1e-9)
-            previous = chance
-        self.assertGreaterEqual(outlook.remaining, 0)
+        for probability in forecast.alive:
+            self.assertLessEqual(probability, previous + 1e-9)
+            self.assertGreaterEqual(probability, -1e-9)
+            previous = probability
+        self.assertGreaterEqual(forecast.remaining, 0)
 
 
 class MemoryTest(unittest.TestCase):
-    """Booked memory."""
+    """Admission by memory demand."""
 
-    def make_book(self, capacity=1000):
+    def make_tracker(self, capacity=1000):
         lengths = LengthBook()
         for _ in range(60):
             lengths.observe(('short',), 10)
@@ -201,26 +212,26 @@
         return MemoryBook(capacity, lengths)
 
     def test_empty_engine_takes_anything(self):
-        book = self.make_book()
-        self.assertTrue(book.fits(Booking(('long',), 5000, 5000)))
+        tracker = self.make_tracker()
+        self.assertTrue(tracker.fits(Booking(('long',), 5000, 5000)))
 
     def test_short_answers_pass_where_long_ones_do_not(self):
-        book = self.make_book(capacity=800)
-        book.add('a', Booking(('long',), 50, 4000, produced=300))
-        self.assertFalse(book.fits(Booking(('long',), 50, 4000)))
-        self.assertTrue(book.fits(Booking(('short',), 50, 4000)))
-
-    def test_preemptions_make_it_careful(self):
-        book = self.make_book()
-        before = book.spreads
-        book.note_preemptions(3)
-        self.assertGreater(book.spreads, before)
+        tracker = self.make_tracker(capacity=800)
+        tracker.add('a', Booking(('long',), 50, 4000, produced=300))
+        self.assertFalse(tracker.fits(Booking(('long',), 50, 4000)))
+        self.assertTrue(tracker.fits(Booking(('short',), 50, 4000)))
+
+    def test_preemptions_raise_the_reserve(self):
+        tracker = self.make_tracker()
+        before = tracker.deviations
+        tracker.note_preemptions(3)
+        self.assertGreater(tracker.deviations, before)
         for number in range(1000):
-            book.remove(str(number))
-        self.assertEqual(before, book.spreads)
+            tracker.remove(str(number))
+        self.assertEqual(before, tracker.deviations)
 
     def test_unknown_capacity_admits(self):
-        book = self.make_book(capacity=0)
-        book.add('a', Booking(('long',), 50, 4000))
-        self.assertTrue(book.fits(Booking(('long',), 50, 4000)))
-        self.assertEqual(0, book.permille)
+        tracker = self.make_tracker(capacity=0)
+        tracker.add('a', Booking(('long',), 50, 4000))
+        self.assertTrue(tracker.fits(Booking(('long',), 50, 4000)))
+        self.assertEqual(0, tracker.permille)
