--- a/primrosewood/attempts.py
+++ b/primrosewood/attempts.py
@@ -1,15 +1,29 @@
-"""What an endpoint remembers of attempts, so that none runs twice."""
+"""Tracks the attempts of an endpoint, so that none runs twice."""
 
 from collections import OrderedDict
 from enum import StrEnum
 
 from .jobs import GenerationJob, Job
 
-__all__ = ('AttemptBook', 'Verdict')
+__all__ = ('AttemptTracker', 'AttemptState')
 
 
-class Verdict(StrEnum):
-    """What is known of an attempt."""
+class AttemptState(StrEnum):
+    """State of an attempt at this endpoint.
+
+    Attributes
+    ----------
+    kept
+        Its work is running, or its answer is kept.
+    refused
+        It was refused and must never run here.
+    ran
+        It ran with an idempotency key; its answer was discarded.
+    never_seen
+        No offer of it has arrived here.
+    forgotten
+        It is unknown, but may be an attempt whose record was evicted.
+    """
 
     kept = 'kept'
     refused = 'refused'
@@ -18,40 +32,45 @@
     forgotten = 'forgotten'
 
 
-class AttemptBook:
-    """Attempts that run, are kept, were refused, or ran long ago.
+class AttemptTracker:
+    """Attempts that are running, kept, refused, or ended and discarded.
 
     Parameters
     ----------
-    most
-        Refusals, and ended keyed attempts, that are remembered.
+    max_remembered
+        Maximum number of refused attempts, and of discarded keyed attempts,
+        that are remembered.
     """
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_remembered: int) -> None:
         """Start without attempts."""
-        self._most = most
+        self._max_remembered = max_remembered
         self._jobs: dict[str, Job] = {}
         self._generations: dict[str, GenerationJob] = {}
         self._refused: OrderedDict[str, None] = OrderedDict()
         self._ran: OrderedDict[str, None] = OrderedDict()
-        self._forgot = False
+        self._has_forgotten = False
 
     @property
     def jobs(self) -> list[Job]:
         """All running and kept work, oldest first."""
         return list(self._jobs.values())
 
-    def judge(self, attempt: str) -> Verdict:
-        """Return what is known of an attempt."""
+    def find_state(self, attempt: str) -> AttemptState:
+        """Return the state of an attempt."""
         if attempt in self._jobs:
-            return Verdict.kept
+            return AttemptState.kept
         if attempt in self._refused:
-            return Verdict.refused
+            return AttemptState.refused
         if attempt in self._ran:
-            return Verdict.ran
-        # Once a refusal or an ended attempt had to be dropped, an unknown
-        # attempt may be that one: nothing may be said of it any more.
-        return Verdict.forgotten if self._forgot else Verdict.never_seen
+            return AttemptState.ran
+        # Once the record of an ended attempt was evicted, an unknown attempt
+        # may be that one, so it can no longer be reported as never seen.
+        return (
+            AttemptState.forgotten
+            if self._has_forgotten
+            else AttemptState.never_seen
+        )
 
     def find(self, attempt: str) -> Job | None:
         """Return the work of an attempt."""
@@ -62,35 +81,38 @@
         return self._generations.get(generation)
 
     def add(self, job: Job) -> None:
-        """Remember work that is about to run."""
+        """Add work that is about to run."""
         self._jobs[job.offer.attempt] = job
         if isinstance(job, GenerationJob):
             self._generations[job.generation] = job
 
     def refuse(self, attempt: str) -> None:
-        """Remember that an attempt will never run here.
+        """Record that an attempt must never run here.
 
-        A delayed copy of its offer that comes later is refused as well, so
-        that "not run" stays true after it was said.
+        A delayed duplicate of its offer is refused as well, so that a
+        reported "not run" stays true.
         """
         self._refused[attempt] = None
-        if len(self._refused) > self._most:
+        if len(self._refused) > self._max_remembered:
             self._refused.popitem(last=False)
 
-    def drop_unrun(self, job: Job) -> None:
-        """Forget work that turned out not to run, and refuse it for good."""
+    def discard_not_run(self, job: Job) -> None:
+        """Remove work that the back end did not run, and refuse its attempt."""
         self._remove(job)
         self.refuse(job.offer.attempt)
 
     def retire(self, job: Job) -> None:
-        """Give up an ended answer; its attempt is remembered as run."""
+        """Discard an ended answer.
+
+        An attempt with an idempotency key is remembered as run.
+        """
         self._remove(job)
         if not job.keyed:
             return
         self._ran[job.offer.attempt] = None
-        if len(self._ran) > self._most:
+        if len(self._ran) > self._max_remembered:
             self._ran.popitem(last=False)
-            self._forgot = True
+            self._has_forgotten = True
 
     def _remove(self, job: Job) -> None:
         self._jobs.pop(job.offer.attempt, None)
--- a/primrosewood/jobs.py
+++ b/primrosewood/jobs.py
@@ -1,4 +1,4 @@
-"""Work that runs at an endpoint, and who listens to its outcome."""
+"""Work that runs at an endpoint, and the subscribers to its outcome."""
 
 import asyncio
 
@@ -11,38 +11,43 @@
 
 __all__ = ('CallJob', 'GenerationJob', 'Job', 'Subscriber')
 
-# What the objects of a job take beside its answer, as measured.
-_JOB_BYTES = 4096
-_JOB_TOKENS = 400
+# Memory of a job's own objects, counted in addition to its answer.
+_JOB_OVERHEAD_BYTES = 4096
+_JOB_OVERHEAD_TOKENS = 400
 
 
 class Subscriber:
-    """One attempt of an entry that listens to a job.
+    """Subscription of an entry to the outcome of a job.
 
     Parameters
     ----------
     attempt
-        Identifier under which the entry knows it.
+        Identifier of the entry's attempt, carried by all messages to it.
     job
-        The job listened to.
+        Job whose outcome is sent.
     link
         Connection to the entry.
     offset
-        First token wanted.
-    window
-        Tokens sent ahead of the receiver's credit.
+        Index of the first token to send.
+    window_tokens
+        Maximum number of tokens sent ahead of the receiver's credit.
     """
 
     def __init__(
-        self, attempt: str, job: 'Job', link: Link, offset: int, window: int
+        self,
+        attempt: str,
+        job: 'Job',
+        link: Link,
+        offset: int,
+        window_tokens: int,
     ) -> None:
-        """Start at the offset, with one window of credit."""
+        """Start at the offset with one window of credit."""
         self.attempt = attempt
         self.link = link
         self.job = job
         self._sent = offset
-        self._credit = offset
-        self._window = window
+        self._credit_offset = offset
+        self._window_tokens = window_tokens
         self._ended = False
 
     @property
@@ -51,26 +56,26 @@
         return self._sent
 
     def collect(self) -> list[Message]:
-        """Return the messages to be sent now."""
+        """Return the messages that can be sent now."""
         if self._ended:
             return []
-        messages, self._sent, self._ended = self.job.messages_for(
-            self.attempt, self._sent, self._credit + self._window
+        messages, self._sent, self._ended = self.job.pending_messages(
+            self.attempt, self._sent, self._credit_offset + self._window_tokens
         )
         return messages
 
-    def give_credit(self, offset: int) -> None:
-        """Note that the receiver has handed on all below an offset."""
-        self._credit = max(self._credit, min(offset, self._sent))
-        self.job.note_delivered(self._credit)
+    def apply_credit(self, offset: int) -> None:
+        """Record that the receiver has forwarded all tokens below an offset."""
+        self._credit_offset = max(self._credit_offset, min(offset, self._sent))
+        self.job.record_delivered(self._credit_offset)
         self.link.notify(self)
 
 
 class Job:
-    """Work of one attempt: run once, listened to by any number."""
+    """Work of one attempt: runs once and has any number of subscribers."""
 
     def __init__(self, offer: wire.Offer) -> None:
-        """Start without listeners."""
+        """Start without subscribers."""
         self.offer = offer
         self.generation = ''
         self.subscribers: dict[str, Subscriber] = {}
@@ -82,37 +87,53 @@
 
     @property
     def organisation(self) -> str:
-        """Full name of the organisation whose work it is."""
+        """Full name (team/organisation) of the organisation it runs for."""
         offer = self.offer
         return f'{offer.team}/{offer.organisation}'
 
     @property
     def keyed(self) -> bool:
-        """Whether a claim of an idempotency key points here."""
+        """Whether a claim of an idempotency key refers to this work."""
         return bool(self.offer.key_digest)
 
     @property
     def size(self) -> int:
-        """Bytes, or tokens, that are kept for it."""
+        """Size for the retention limits: bytes of a call, tokens otherwise."""
         return 0
 
     def publish(self) -> None:
-        """Let every listener send what is new."""
+        """Notify all subscribers of new output."""
         for subscriber in self.subscribers.values():
             subscriber.link.notify(subscriber)
 
-    def messages_for(
+    def pending_messages(
         self, attempt: str, sent: int, limit: int
     ) -> tuple[list[Message], int, bool]:
-        """Return new messages, tokens sent with them, whether it is all."""
+        """Return the messages for a subscriber that may be sent now.
+
+        Parameters
+        ----------
+        attempt
+            Identifier that the messages carry.
+        sent
+            Number of tokens sent before.
+        limit
+            Number of tokens that may be sent in total.
+
+        Returns
+        -------
+        tuple[list[Message], int, bool]
+            The messages, the number of tokens sent including them, and
+            whether they complete the outcome.
+        """
         raise NotImplementedError
 
-    def note_delivered(self, offset: int) -> None:
-        """Note that a listener has handed on all below an offset."""
+    def record_delivered(self, offset: int) -> None:
+        """Record that a subscriber has forwarded all tokens below an offset."""
 
 
 class GenerationJob(Job):
-    """A generation with its tokens."""
+    """Generation of a model engine, with its tokens."""
 
     def __init__(self, offer: wire.Offer, generation: str) -> None:
         """Start without tokens."""
@@ -123,30 +144,46 @@
 
     @property
     def size(self) -> int:
-        """Tokens that are kept for it, its own weight included."""
-        return len(self.tokens) + _JOB_TOKENS
+        """Tokens kept for it, including the overhead of the job itself."""
+        return len(self.tokens) + _JOB_OVERHEAD_TOKENS
 
-    def messages_for(
+    def pending_messages(
         self, attempt: str, sent: int, limit: int
     ) -> tuple[list[Message], int, bool]:
-        """Return new messages, tokens sent with them, whether it is all."""
-        last = min(len(self.tokens), limit)
+        """Return the messages for a subscriber that may be sent now.
+
+        Parameters
+        ----------
+        attempt
+            Identifier that the messages carry.
+        sent
+            Number of tokens sent before.
+        limit
+            Number of tokens that may be sent in total.
+
+        Returns
+        -------
+        tuple[list[Message], int, bool]
+            The messages, the number of tokens sent including them, and
+            whether they complete the outcome.
+        """
+        end = min(len(self.tokens), limit)
         messages: list[Message] = []
-        if last > sent:
-            pieces = self.tokens.read(sent, last)
+        if end > sent:
+            pieces = self.tokens.read(sent, end)
             messages.append(wire.Tokens(attempt, sent, pieces))
-            sent = last
+            sent = end
         complete = self.tokens.ended and sent >= len(self.tokens)
         if complete:
-            messages.append(self._ending(attempt))
+            messages.append(self._make_final_message(attempt))
         return messages, sent, complete
 
-    def note_delivered(self, offset: int) -> None:
-        """Note that a listener has handed on all below an offset."""
+    def record_delivered(self, offset: int) -> None:
+        """Record that a subscriber has forwarded all tokens below an offset."""
         if self.tokens.ended and offset >= len(self.tokens):
             self.delivered = True
 
-    def _ending(self, attempt: str) -> Message:
+    def _make_final_message(self, attempt: str) -> Message:
         if self.tokens.failure is not None:
             return wire.Failed(attempt, self.tokens.failure.value, '')
         return wire.Finished(
@@ -159,7 +196,7 @@
 
 
 class CallJob(Job):
-    """A call to a plain service with its whole answer."""
+    """Call to a plain service, with its whole answer."""
 
     def __init__(self, offer: wire.Offer) -> None:
         """Start without an answer."""
@@ -169,36 +206,52 @@
 
     @property
     def size(self) -> int:
-        """Bytes that are kept for it."""
+        """Bytes kept for it, including the overhead of the job itself."""
         body = len(self._answer.body) if self._answer else 0
-        return body + _JOB_BYTES
+        return body + _JOB_OVERHEAD_BYTES
 
     def finish(self, answer: CallResult) -> None:
-        """Keep the answer and tell the listeners."""
+        """Store the answer and notify the subscribers."""
         self._answer = answer
         self.publish()
 
     def fail(self, kind: ErrorKind) -> None:
-        """Keep the failure and tell the listeners."""
+        """Store the failure and notify the subscribers."""
         self._failure = kind
         self.publish()
 
-    def messages_for(
+    def pending_messages(
         self, attempt: str, sent: int, limit: int
     ) -> tuple[list[Message], int, bool]:
-        """Return new messages, tokens sent with them, whether it is all."""
+        """Return the messages for a subscriber that may be sent now.
+
+        Parameters
+        ----------
+        attempt
+            Identifier that the messages carry.
+        sent
+            Number of tokens sent before.
+        limit
+            Number of tokens that may be sent in total.
+
+        Returns
+        -------
+        tuple[list[Message], int, bool]
+            The messages, the number of tokens sent including them, and
+            whether they complete the outcome.
+        """
         if self._failure is not None:
             failed = wire.Failed(attempt, self._failure.value, '')
             return [failed], sent, True
         if self._answer is None:
             return [], sent, False
-        return [self._reply(attempt, self._answer)], sent, True
+        return [self._make_reply(attempt, self._answer)], sent, True
 
-    def note_delivered(self, offset: int) -> None:
-        """Note that a listener has the answer."""
+    def record_delivered(self, offset: int) -> None:
+        """Record that a subscriber has forwarded the answer."""
         self.delivered = self._answer is not None
 
-    def _reply(self, attempt: str, answer: CallResult) -> wire.Reply:
+    def _make_reply(self, attempt: str, answer: CallResult) -> wire.Reply:
         return wire.Reply(
             attempt,
             answer.status,
--- a/primrosewood/retention.py
+++ b/primrosewood/retention.py
@@ -1,32 +1,32 @@
-"""How long an endpoint keeps answers, and whether it may stop."""
+"""Retention of finished answers, and cancelling of orphaned work."""
 
-from .attempts import AttemptBook
+from .attempts import AttemptTracker
 from .clock import Clock
 from .gen_process import Limits, Timing
 from .jobs import CallJob, Job
-from .listeners import Listeners
 from .runner import JobRunner
+from .subscribers import SubscriberRegistry
 
 __all__ = ('Retention',)
 
-_RETURN_SECONDS = 5.0
+_RESUME_GRACE_SECONDS = 5.0
 
 
 class Retention:
-    """Gives up answers by age and amount, and work that nobody reads."""
+    """Discards answers by age and size, and cancels orphaned work."""
 
     def __init__(
         self,
-        attempts: AttemptBook,
-        listeners: Listeners,
+        attempts: AttemptTracker,
+        subscribers: SubscriberRegistry,
         runner: JobRunner,
         clock: Clock,
         limits: Limits,
         timing: Timing,
     ) -> None:
-        """Take the work that is watched over."""
+        """Prepare to sweep the work of `attempts`."""
         self._attempts = attempts
-        self._listeners = listeners
+        self._subscribers = subscribers
         self._runner = runner
         self._clock = clock
         self._limits = limits
@@ -34,50 +34,56 @@
 
     @property
     def idle(self) -> bool:
-        """Whether every answer has been handed on."""
-        return all(self._is_done(job) for job in self._attempts.jobs)
+        """Whether no answer is awaited any more, so the process may stop."""
+        return all(self._is_settled(job) for job in self._attempts.jobs)
 
-    def sweep(self, keep_seconds: float) -> None:
-        """Give up ended answers that are too old or too many."""
+    def sweep(self, keep_answer_seconds: float) -> None:
+        """Discard finished answers that are too old or exceed the size limit.
+
+        Cancels running work that has had no subscribers for too long.
+        """
         now = self._clock.monotonic()
-        kept = 0
+        kept_size = 0
         for job in reversed(self._attempts.jobs):
             if job.ended_at is None:
-                self._stop_orphan(job, now)
+                self._cancel_orphan(job, now)
                 continue
-            kept += job.size
-            too_old = now - job.ended_at > keep_seconds or _is_spent(job)
-            if too_old or kept > self._budget(job):
-                self._listeners.remove_job(job)
+            kept_size += job.size
+            expired = (
+                now - job.ended_at > keep_answer_seconds or _is_unreachable(job)
+            )
+            if expired or kept_size > self._find_size_limit(job):
+                self._subscribers.remove_job(job)
                 self._attempts.retire(job)
 
-    def _budget(self, job: Job) -> int:
+    def _find_size_limit(self, job: Job) -> int:
         if isinstance(job, CallJob):
             return self._limits.kept_bytes
         return self._limits.kept_tokens
 
-    def _stop_orphan(self, job: Job, now: float) -> None:
-        # A claim points at keyed work, so a retry must find its answer.
+    def _cancel_orphan(self, job: Job, now: float) -> None:
+        # A claim refers to keyed work, so a retry must find its answer.
         if job.orphaned_at is None or job.keyed:
             return
         if now - job.orphaned_at > self._timing.orphan_seconds:
             job.orphaned_at = now
             self._runner.cancel(job)
 
-    def _is_done(self, job: Job) -> bool:
+    def _is_settled(self, job: Job) -> bool:
         if job.ended_at is None:
             return False
         if job.delivered or job.subscribers:
             return job.delivered
-        # Its reader's entry went away; the reader may come by another one.
-        alone = self._clock.monotonic() - job.orphaned_at
-        return alone > _RETURN_SECONDS
+        # The connection to the entry was lost; the caller may resume through
+        # another entry for a while.
+        orphaned_seconds = self._clock.monotonic() - job.orphaned_at
+        return orphaned_seconds > _RESUME_GRACE_SECONDS
 
 
-def _is_spent(job: Job) -> bool:
-    """Tell whether nobody can ask for an answer any more.
+def _is_unreachable(job: Job) -> bool:
+    """Return whether no caller can ask for an answer any more.
 
-    A streamed one may be resumed by its event id and a keyed one asked for
-    under its key; any other is of no use once it was handed on.
+    A streamed answer can be resumed by its event ID, and a keyed one can be
+    fetched by its key; any other is useless once it was delivered.
     """
     return job.delivered and not job.keyed and not job.offer.streamed
--- a/primrosewood/runner.py
+++ b/primrosewood/runner.py
@@ -20,37 +20,41 @@
 from .metrics import Metrics
 from .process import spawn
 
-__all__ = ('JobRunner', 'RunnerEvents', 'count_tokens')
+__all__ = ('JobRunner', 'RunnerCallbacks', 'estimate_tokens')
 
 _CHARACTERS_PER_TOKEN = 4
-_READER_PRIORITY = 10
-_RESUME_TRIES = 5
-_RESUME_PAUSE = 0.2
+_STREAMED_PRIORITY = 10
+_RESUME_ATTEMPTS = 5
+_RESUME_DELAY_SECONDS = 0.2
 
 
-def count_tokens(text: str) -> int:
-    """Estimate the tokens of a prompt; the engine counts its own."""
+def estimate_tokens(text: str) -> int:
+    """Estimate the tokens of a prompt by its length.
+
+    The engine counts the exact number with its own tokenizer.
+    """
     return len(text) // _CHARACTERS_PER_TOKEN + 1
 
 
 @dataclass(frozen=True, slots=True)
-class RunnerEvents:
-    """What the runner tells its owner.
+class RunnerCallbacks:
+    """Callbacks of a `JobRunner`.
 
     Attributes
     ----------
     ended
-        Work ended, well or not; its answer is yet to be published.
-    unrun
-        The back end refused the work before it ran.
+        Called when work has ended, successfully or not, before its outcome
+        is published.
+    not_run
+        Called when the back end refused the work before running it.
     """
 
     ended: Callable[[Job], None]
-    unrun: Callable[[Job, NotRunError], None]
+    not_run: Callable[[Job, NotRunError], None]
 
 
 class JobRunner:
-    """Drives the engine or plain service beside the endpoint."""
+    """Runs jobs at the model engine or plain service of an endpoint."""
 
     def __init__(
         self,
@@ -59,61 +63,65 @@
         admission: Admission,
         clock: Clock,
         metrics: Metrics,
-        events: RunnerEvents,
+        callbacks: RunnerCallbacks,
     ) -> None:
-        """Take the back end, whose behaviour feeds the admission."""
+        """Prepare to run jobs.
+
+        Latencies and failures of the back end adjust the limit of
+        `admission`.
+        """
         self._engine = engine
         self._plain_service = plain_service
         self._admission = admission
         self._clock = clock
         self._metrics = metrics
-        self._events = events
+        self._callbacks = callbacks
 
     def start(self, job: Job, model: str) -> None:
-        """Run admitted work."""
+        """Start running admitted work."""
         if isinstance(job, GenerationJob):
             job.task = spawn(self._run_generation(job, model), 'generation')
         else:
             job.task = spawn(self._run_call(job), 'call')
 
-    def start_adopted(self, job: GenerationJob) -> None:
-        """Follow a generation that an earlier run of the process started."""
+    def resume_adopted(self, job: GenerationJob) -> None:
+        """Resume a generation that an earlier run of the process started."""
         job.task = spawn(self._run_adopted(job), 'adopted job')
 
     def cancel(self, job: Job) -> None:
-        """Stop a generation; a call cannot be taken back."""
+        """Stop a generation; a plain call cannot be cancelled."""
         if isinstance(job, GenerationJob):
             spawn(self._engine.cancel(job.generation), 'cancel')
 
     async def _run_generation(self, job: GenerationJob, model: str) -> None:
         offer = job.offer
-        job.prompt_tokens = count_tokens(offer.prompt)
+        job.prompt_tokens = estimate_tokens(offer.prompt)
         call = EngineCall(
             generation=job.generation,
             model=model,
             prompt=offer.prompt,
             max_tokens=offer.max_tokens,
-            priority=_READER_PRIORITY if offer.streamed else 0,
+            priority=_STREAMED_PRIORITY if offer.streamed else 0,
             parameters=offer.body or b'{}',
         )
         try:
             await self._read_tokens(job, self._engine.generate(call))
         except NotRunError as error:
-            self._end_unrun(job, error)
+            self._end_not_run(job, error)
             return
         except (BackendCutError, StreamUnknownError):
-            await self._carry_on(job)
+            await self._resume_generation(job)
         self._end_generation(job)
 
     async def _run_adopted(self, job: GenerationJob) -> None:
-        await self._carry_on(job)
+        await self._resume_generation(job)
         self._end_generation(job)
 
-    async def _carry_on(self, job: GenerationJob) -> None:
-        # The connection to the engine broke. If the engine lives it still has
-        # the stream, and the tokens go on where they stopped; a second
-        # generation in its place would differ from the part already sent.
-        for _ in range(_RESUME_TRIES):
+    async def _resume_generation(self, job: GenerationJob) -> None:
+        # The connection to the engine broke. A running engine still has the
+        # stream, and it resumes at the next token; a second generation would
+        # differ from the part that was sent already.
+        for _ in range(_RESUME_ATTEMPTS):
             tokens = self._engine.resume(job.generation, len(job.tokens))
             try:
                 await self._read_tokens(job, tokens)
@@ -126,7 +134,7 @@
                     generation=job.generation,
                     why=error,
                 )
-                await asyncio.sleep(_RESUME_PAUSE)
+                await asyncio.sleep(_RESUME_DELAY_SECONDS)
             else:
                 return
         log_event(
@@ -143,21 +151,23 @@
     ) -> None:
         timer = _TokenTimer(self._clock)
         async for token in tokens:
-            self._take_token(job, token, timer)
+            self._handle_token(job, token, timer)
         self._admission.limit.observe(
-            timer.first_seconds, timer.between_seconds, self._admission.running
+            timer.first_token_seconds,
+            timer.mean_gap_seconds,
+            self._admission.running,
         )
-        self._metrics.record('first_token', timer.first_seconds)
-        self._metrics.record('between_tokens', timer.between_seconds)
+        self._metrics.record('first_token', timer.first_token_seconds)
+        self._metrics.record('between_tokens', timer.mean_gap_seconds)
 
-    def _take_token(
+    def _handle_token(
         self, job: GenerationJob, token: EngineToken, timer: '_TokenTimer'
     ) -> None:
         if token.finish_reason:
             job.tokens.finish(token.finish_reason)
             return
         if job.tokens.append(token.index, token.piece):
-            timer.note()
+            timer.record_token()
             produced = len(job.tokens)
             self._admission.note_tokens(job.offer.attempt, produced, added=1)
             job.publish()
@@ -166,7 +176,7 @@
         whole = job.tokens.failure is None
         self._admission.finish(job.offer.attempt, len(job.tokens), whole)
         self._metrics.count('tokens', amount=len(job.tokens))
-        self._events.ended(job)
+        self._callbacks.ended(job)
         job.publish()
 
     async def _run_call(self, job: CallJob) -> None:
@@ -178,17 +188,17 @@
             content_type=offer.content_type,
             body=offer.body,
         )
-        started = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         try:
             answer = await self._plain_service.call(call)
         except NotRunError as error:
-            self._end_unrun(job, error)
+            self._end_not_run(job, error)
             return
         except BackendCutError:
             self._end_call(job)
             job.fail(ErrorKind.outcome_unknown)
             return
-        elapsed = self._clock.monotonic() - started
+        elapsed = self._clock.monotonic() - started_at
         self._admission.limit.observe(elapsed, 0, self._admission.running)
         self._metrics.record('plain_call', elapsed)
         self._end_call(job)
@@ -196,41 +206,41 @@
 
     def _end_call(self, job: CallJob) -> None:
         self._admission.finish(job.offer.attempt, 0, whole=False)
-        self._events.ended(job)
+        self._callbacks.ended(job)
 
-    def _end_unrun(self, job: Job, error: NotRunError) -> None:
+    def _end_not_run(self, job: Job, error: NotRunError) -> None:
         self._admission.finish(job.offer.attempt, 0, whole=False)
         self._admission.limit.note_failure()
-        self._events.unrun(job, error)
+        self._callbacks.not_run(job, error)
 
 
 class _TokenTimer:
-    """Times of one generation's tokens."""
+    """Measures time to first token and gaps of one generation."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._started = clock.monotonic()
-        self._first = self._started
-        self._last = self._started
-        self._largest = 0.0
-        self._count = 0
+        self._started_at = clock.monotonic()
+        self._first_at = self._started_at
+        self._last_at = self._started_at
+        self._largest_gap = 0.0
+        self._token_count = 0
 
     @property
-    def first_seconds(self) -> float:
-        return self._first - self._started
+    def first_token_seconds(self) -> float:
+        return self._first_at - self._started_at
 
     @property
-    def between_seconds(self) -> float:
-        # Without the largest gap: one stall, as after a preemption, is not a
-        # slow engine, and must not take the limit back to its start.
-        usual = self._last - self._first - self._largest
-        return usual / max(1, self._count - 2)
+    def mean_gap_seconds(self) -> float:
+        # Leaves out the largest gap: a single stall, as after a preemption,
+        # does not mean a slow engine and must not reset the limit.
+        gaps_total = self._last_at - self._first_at - self._largest_gap
+        return gaps_total / max(1, self._token_count - 2)
 
-    def note(self) -> None:
+    def record_token(self) -> None:
         now = self._clock.monotonic()
-        if self._count:
-            self._largest = max(self._largest, now - self._last)
+        if self._token_count:
+            self._largest_gap = max(self._largest_gap, now - self._last_at)
         else:
-            self._first = now
-        self._last = now
-        self._count += 1
+            self._first_at = now
+        self._last_at = now
+        self._token_count += 1
--- a/primrosewood/warmup.py
+++ b/primrosewood/warmup.py
@@ -1,4 +1,4 @@
-"""Concurrency limit of an endpoint that may be cold."""
+"""Adaptive concurrency limit of an endpoint whose engine may be cold."""
 
 from dataclasses import dataclass
 
@@ -6,24 +6,27 @@
 
 __all__ = ('ConcurrencyLimit', 'Targets')
 
-_IN_TIME = 1.25
-_TOO_SLOW = 1.75
-_COLD = 3.0
-_SHRINK = 0.7
-_IN_USE = 0.5
-_PROBATION = 4
+# Slowness is a measured latency divided by its target.
+_GROW_RATIO = 1.25
+_SHRINK_RATIO = 1.75
+_COLD_RATIO = 3.0
+_SHRINK_FACTOR = 0.7
+_MIN_UTILISATION = 0.5
+_PROBATION_ANSWERS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Targets:
-    """What the limit keeps to.
+    """Bounds of the concurrency limit, and its latency targets.
 
     Attributes
     ----------
     start, most
-        Limit of a fresh endpoint, and its ceiling.
+        Initial limit, which is also its lower bound, and its upper bound.
     first_token, between_tokens
-        Seconds; a plain service has only the first, for its whole answer.
+        Target time to first token and target time between tokens, in
+        seconds. For a plain service, `first_token` is the target for the
+        whole answer, and `between_tokens` is not used.
     """
 
     start: int
@@ -33,71 +36,82 @@
 
 
 class ConcurrencyLimit:
-    """A limit that starts small and grows with proven answers.
-
-    The limit doubles over each round of good answers until the first slow
-    one, then grows by one a round. Only answers within the targets let it
-    grow; a slow answer shrinks it, and answers as slow as a cold engine's
-    take it back to its start. The same signal is read after a restart of
-    this process and when a warm engine turns cold, so no announcement is
-    needed.
+    """Limit that starts small and adapts to observed latencies.
+
+    The limit doubles with each round of answers that meet the targets, until
+    the first slow answer; after that it grows by one per round. A slow answer
+    shrinks it, and an answer as slow as from a cold engine resets it to its
+    initial value. The same signal serves after a restart of this process and
+    when a warm engine turns cold, so the engine need not announce either.
     """
 
     def __init__(self, targets: Targets) -> None:
-        """Start cold."""
+        """Start with the initial limit."""
         self._targets = targets
         self._limit = float(targets.start)
         self._doubling = True
-        self._good = 0
-        self._proven = False
+        self._good_answers = 0
+        self._observed = False
 
     @property
     def limit(self) -> int:
-        """Requests that may run at once."""
+        """Number of requests that may run concurrently."""
         return int(self._limit)
 
-    def retarget(self, targets: Targets) -> None:
-        """Take new targets; the limit stays within the new ceiling."""
+    def update_targets(self, targets: Targets) -> None:
+        """Apply new targets.
+
+        The limit takes the new initial value if no answer was observed yet,
+        and is reduced to the new upper bound.
+        """
         self._targets = targets
-        if not self._proven:
+        if not self._observed:
             self._limit = float(targets.start)
         self._limit = min(self._limit, float(targets.most))
 
-    def observe(self, first_token: float, between: float, running: int) -> None:
-        """Learn from one answer.
+    def observe(
+        self, first_token: float, token_gap: float, running: int
+    ) -> None:
+        """Adjust the limit after an answer.
 
         Parameters
         ----------
         first_token
             Seconds from the engine call to the first token.
-        between
+        token_gap
             Mean seconds between later tokens, 0 when there were none.
         running
-            Requests that ran beside it.
+            Number of requests that ran at the same time.
         """
-        self._proven = True
-        slowness = self._slowness(first_token, between)
-        if slowness >= _COLD:
+        self._observed = True
+        slowness = self._compute_slowness(first_token, token_gap)
+        if slowness >= _COLD_RATIO:
             self._reset(slowness)
-        elif slowness >= _TOO_SLOW:
+        elif slowness >= _SHRINK_RATIO:
             self._shrink(slowness)
-        elif slowness <= _IN_TIME and running >= self._limit * _IN_USE:
-            # Only answers given under load prove that more can be borne.
+        elif (
+            slowness <= _GROW_RATIO
+            and running >= self._limit * _MIN_UTILISATION
+        ):
+            # Only answers given under load show that the engine bears more.
             self._grow()
 
     def note_failure(self) -> None:
-        """Learn from an answer that the engine broke off."""
+        """Reset the limit after a request that the engine failed."""
         self._reset(0)
 
-    def _slowness(self, first_token: float, between: float) -> float:
+    def _compute_slowness(self, first_token: float, token_gap: float) -> float:
         return max(
             first_token / self._targets.first_token,
-            between / self._targets.between_tokens,
+            token_gap / self._targets.between_tokens,
         )
 
     def _grow(self) -> None:
-        self._good += 1
-        if self._good < _PROBATION and self._limit <= self._targets.start:
+        self._good_answers += 1
+        if (
+            self._good_answers < _PROBATION_ANSWERS
+            and self._limit <= self._targets.start
+        ):
             return
         step = 1 if self._doubling else 1 / self._limit
         self._limit = min(float(self._targets.most), self._limit + step)
@@ -105,12 +119,12 @@
     def _shrink(self, slowness: float) -> None:
         self._doubling = False
         floor = float(self._targets.start)
-        self._limit = max(floor, self._limit * _SHRINK)
+        self._limit = max(floor, self._limit * _SHRINK_FACTOR)
         log_event('limit_shrunk', limit=self.limit, slowness=slowness)
 
     def _reset(self, slowness: float) -> None:
         self._doubling = True
-        self._good = 0
+        self._good_answers = 0
         if self._limit > self._targets.start:
             self._limit = float(self._targets.start)
             log_event('limit_reset', limit=self.limit, slowness=slowness)
--- a/primrosewood/worker.py
+++ b/primrosewood/worker.py
@@ -1,10 +1,14 @@
-"""The work of an endpoint process: offers in, answers out."""
+"""Handles the messages of entries at an endpoint.
+
+Offers are admitted, queued or refused; admitted work runs at the back end,
+and its output is sent to all subscribers.
+"""
 
 from dataclasses import dataclass
 
 from . import gen_wire as wire
 from .admission import Admission, AdmissionRequest
-from .attempts import AttemptBook, Verdict
+from .attempts import AttemptState, AttemptTracker
 from .backends import Engine, EngineLoad, PlainService
 from .clock import Clock
 from .codec import Message
@@ -14,35 +18,35 @@
 from .identity import digest_template
 from .jobs import CallJob, GenerationJob, Job
 from .link import Link
-from .listeners import Listeners
 from .logs import log_decision
-from .lookup import Lookup
+from .lookup import JobLookup
 from .metrics import Metrics
 from .retention import Retention
-from .runner import JobRunner, RunnerEvents, count_tokens
+from .runner import JobRunner, RunnerCallbacks, estimate_tokens
 from .settings import SettingsStore
+from .subscribers import SubscriberRegistry
 from .warmup import Targets
 
 __all__ = ('Place', 'Worker')
 
 _MILLISECONDS = 1000
-_PASSING_RETRY_SECONDS = 0.5
+_MIN_RETRY_SECONDS = 0.5
 _OFFER_GRACE_SECONDS = 0.3
-_NEVER_SEEN = Verdict.never_seen
+_NEVER_SEEN = AttemptState.never_seen
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a worker stands.
+    """Identity of an endpoint process.
 
     Attributes
     ----------
     name, incarnation
-        The endpoint, and this run of its process.
+        Name of the endpoint, and identifier of this run of its process.
     team, service
-        What it serves.
+        Service that it serves, and the team that owns the service.
     failure_domain
-        Where it is.
+        Failure domain that it runs in.
     """
 
     name: str
@@ -53,16 +57,20 @@
 
 
 @dataclass(slots=True)
-class _Queued:
-    """An offer that waits, and who waits for it by which channel."""
+class _QueuedOffer:
+    """A queued offer with the connections that wait for its outcome.
+
+    `links` maps the attempt that each entry uses in its messages to the
+    connection of that entry.
+    """
 
     offer: wire.Offer
     links: dict[str, Link]
 
 
 @dataclass(frozen=True, slots=True)
-class _Parked:
-    """A question about an attempt whose offer may be on its way."""
+class _PendingFetch:
+    """A fetch that is held until `until` because the offer may still come."""
 
     fetch: wire.Fetch
     link: Link
@@ -70,22 +78,23 @@
 
 
 class Worker:
-    """Decides on offers and runs what is admitted.
+    """Decides on offers and runs the admitted ones.
 
     Parameters
     ----------
     place
-        Where the worker stands.
+        Identity of this endpoint.
     store
-        Settings in force.
+        Settings that are in force.
     engine, plain_service
-        The back end beside it; which of them is there, the settings tell.
+        Clients of the back end; the kind of the service in the settings
+        decides which one is used.
     clock
         Source of time.
     limits, timing
-        Local settings.
+        Limits and timing of this process.
     metrics
-        Where counts go.
+        Receives the counters.
     """
 
     def __init__(
@@ -99,18 +108,20 @@
         timing: Timing,
         metrics: Metrics,
     ) -> None:
-        """Start cold."""
-        self._place = place
+        """Start with the limit of a cold engine and no work."""
+        self._identity = place
         self._store = store
         self._clock = clock
         self._metrics = metrics
-        self._attempts = AttemptBook(limits.attempts_remembered)
-        self._listeners = Listeners(clock, limits.stream_window_tokens)
-        self._queued: dict[str, _Queued] = {}
-        self._parked: list[_Parked] = []
-        self._counter = 0
+        self._attempts = AttemptTracker(limits.attempts_remembered)
+        self._subscribers = SubscriberRegistry(
+            clock, limits.stream_window_tokens
+        )
+        self._queued: dict[str, _QueuedOffer] = {}
+        self._pending_fetches: list[_PendingFetch] = []
+        self._generation_count = 0
         self._leaving = False
-        self._preemptions = 0
+        self._last_preemptions = 0
         self.admission = Admission(
             clock, _make_targets(self._service), limits.queue_length, 0
         )
@@ -120,15 +131,20 @@
             self.admission,
             clock,
             metrics,
-            RunnerEvents(self._note_end, self._note_unrun),
+            RunnerCallbacks(self._handle_job_end, self._handle_not_run),
         )
         self._retention = Retention(
-            self._attempts, self._listeners, self._runner, clock, limits, timing
+            self._attempts,
+            self._subscribers,
+            self._runner,
+            clock,
+            limits,
+            timing,
         )
-        self._lookup = Lookup(
+        self._lookup = JobLookup(
             incarnation=place.incarnation,
             attempts=self._attempts,
-            listeners=self._listeners,
+            subscribers=self._subscribers,
             admission=self.admission,
             runner=self._runner,
             read_load=lambda: self.load,
@@ -137,96 +153,101 @@
 
     @property
     def load(self) -> wire.Load:
-        """Load as it is reported."""
+        """Load that is reported to the entries."""
         return self.admission.load(
-            leaving=self._leaving, refusing=self._refusal() is not None
+            leaving=self._leaving, refusing=self._find_refusal() is not None
         )
 
     @property
     def serves_model(self) -> bool:
-        """Whether the settings say that a model engine stands beside it."""
+        """Whether the service is a model according to the settings."""
         return self._store.ready and self._service.kind == 'model'
 
     @property
     def idle(self) -> bool:
-        """Whether every answer has been handed on."""
-        asked = self._queued or self._parked
-        return not asked and self._retention.idle
+        """Whether no work is pending and every answer has been delivered."""
+        pending_work = self._queued or self._pending_fetches
+        return not pending_work and self._retention.idle
 
     def handle(self, message: Message, link: Link) -> None:
-        """Act on a message of an entry."""
+        """Handle a message from an entry."""
         match message:
             case wire.Offer():
-                self._take_offer(message, link)
+                self._handle_offer(message, link)
             case wire.Credit():
-                self._listeners.take_credit(message, link)
+                self._subscribers.apply_credit(message, link)
             case wire.Resume():
                 self._lookup.resume(message, link)
             case wire.Fetch():
-                self._fetch(message, link)
+                self._handle_fetch(message, link)
             case wire.Cancel():
-                self._cancel(message, link)
+                self._handle_cancel(message, link)
 
     def drop_link(self, link: Link) -> None:
-        """Withdraw what waits for a closed connection; runs go on."""
+        """Withdraw the queued offers of a closed connection.
+
+        Running work continues.
+        """
         for attempt, queued in list(self._queued.items()):
-            for channel in list(queued.links):
-                if queued.links[channel] is link:
-                    queued.links.pop(channel)
+            for subscriber_attempt in list(queued.links):
+                if queued.links[subscriber_attempt] is link:
+                    queued.links.pop(subscriber_attempt)
             if not queued.links:
-                self._withdraw(attempt)
-        self._listeners.remove_link(link)
+                self._withdraw_offer(attempt)
+        self._subscribers.remove_link(link)
 
     def leave(self) -> None:
-        """Refuse new work from now on; what runs goes on."""
+        """Refuse new and queued work from now on; running work continues."""
         self._leaving = True
         self._refuse_queued(ErrorKind.leaving)
 
     def learn_load(self, load: EngineLoad) -> None:
-        """Take memory size and preemptions from the engine's own report."""
+        """Apply memory size and preemptions from the engine's report."""
         self.admission.memory.capacity = load.capacity_tokens
-        fresh = max(0, load.preemptions - self._preemptions)
-        self.admission.memory.note_preemptions(fresh)
-        self._preemptions = load.preemptions
+        new_preemptions = max(0, load.preemptions - self._last_preemptions)
+        self.admission.memory.note_preemptions(new_preemptions)
+        self._last_preemptions = load.preemptions
 
     def tick(self) -> None:
-        """Do what time asks for; called a few times a second."""
+        """Handle timeouts; called a few times per second."""
         for request in self.admission.expire():
             self._refuse_waiting(request.name, ErrorKind.deadline_unmeetable)
         self._start_waiting()
-        self._answer_parked()
+        self._answer_expired_fetches()
         self._retention.sweep(self._service.keep_answer_seconds)
 
     @property
     def _service(self) -> Service:
-        found = self._store.find_service(self._place.team, self._place.service)
-        return found or Service(kind='model')
+        configured = self._store.find_service(
+            self._identity.team, self._identity.service
+        )
+        return configured or Service(kind='model')
 
-    def _take_offer(self, offer: wire.Offer, link: Link) -> None:
-        verdict = self._attempts.judge(offer.attempt)
-        if verdict in {Verdict.refused, Verdict.ran}:
-            # A delayed copy of an offer that was already answered.
+    def _handle_offer(self, offer: wire.Offer, link: Link) -> None:
+        state = self._attempts.find_state(offer.attempt)
+        if state in {AttemptState.refused, AttemptState.ran}:
+            # A delayed duplicate of an offer that was answered before.
             self._send_not_run(link, offer.attempt, ErrorKind.never_offered)
             return
         job = self._attempts.find(offer.attempt)
         if job is not None:
-            self._listeners.add(job, offer.attempt, link)
+            self._subscribers.add(job, offer.attempt, link)
             return
-        kind = self._refusal() or self._mismatch(offer)
+        kind = self._find_refusal() or self._find_mismatch(offer)
         if kind is None:
             self._admit(offer, link)
         else:
-            self._refuse(offer, link, kind, _PASSING_RETRY_SECONDS)
-        self._answer_fetches_of(offer.attempt)
+            self._refuse(offer, link, kind, _MIN_RETRY_SECONDS)
+        self._answer_pending_fetches(offer.attempt)
 
     def _admit(self, offer: wire.Offer, link: Link) -> None:
         try:
-            started = self.admission.offer(self._to_request(offer))
+            started = self.admission.offer(self._make_admission_request(offer))
         except NotRunError as error:
             self._refuse(offer, link, error.kind, error.retry_seconds)
             return
         self._log(offer, 'run' if started else 'queue')
-        queued = _Queued(offer, {offer.attempt: link})
+        queued = _QueuedOffer(offer, {offer.attempt: link})
         if started:
             self._start(queued)
             return
@@ -234,59 +255,77 @@
         wait_ms = int(self.admission.retry_seconds * _MILLISECONDS)
         link.send(wire.Queued(offer.attempt, wait_ms))
 
-    def _refusal(self) -> ErrorKind | None:
+    def _find_refusal(self) -> ErrorKind | None:
         if self._leaving:
             return ErrorKind.leaving
         if not self._store.ready:
             return ErrorKind.settings_missing
-        if self._store.is_out(self._place.team, self._place.failure_domain):
+        if self._store.is_out(
+            self._identity.team, self._identity.failure_domain
+        ):
             return ErrorKind.domain_out
         return None
 
-    def _mismatch(self, offer: wire.Offer) -> ErrorKind | None:
-        wanted = (offer.team, offer.service)
-        if wanted != (self._place.team, self._place.service):
+    def _find_mismatch(self, offer: wire.Offer) -> ErrorKind | None:
+        requested = (offer.team, offer.service)
+        if requested != (self._identity.team, self._identity.service):
             return ErrorKind.not_found
         return None
 
     def _refuse(
-        self, offer: wire.Offer, link: Link, kind: ErrorKind, retry: float
+        self,
+        offer: wire.Offer,
+        link: Link,
+        kind: ErrorKind,
+        retry_after_seconds: float,
     ) -> None:
         self._refuse_queued_offer(
-            _Queued(offer, {offer.attempt: link}), kind, retry
+            _QueuedOffer(offer, {offer.attempt: link}),
+            kind,
+            retry_after_seconds,
         )
 
     def _refuse_queued_offer(
-        self, queued: _Queued, kind: ErrorKind, retry: float
+        self, queued: _QueuedOffer, kind: ErrorKind, retry_after_seconds: float
     ) -> None:
         self._attempts.refuse(queued.offer.attempt)
         self._metrics.count('refused', kind.value)
         self._log(queued.offer, 'refuse', why=kind.value)
-        for channel, link in queued.links.items():
-            self._send_not_run(link, channel, kind, retry)
+        for subscriber_attempt, link in queued.links.items():
+            self._send_not_run(
+                link, subscriber_attempt, kind, retry_after_seconds
+            )
 
     def _send_not_run(
-        self, link: Link, channel: str, kind: ErrorKind, retry: float = 0
+        self,
+        link: Link,
+        subscriber_attempt: str,
+        kind: ErrorKind,
+        retry_after_seconds: float = 0,
     ) -> None:
-        retry_ms = int(retry * _MILLISECONDS)
-        link.send(wire.NotRun(channel, kind.value, retry_ms, self.load))
+        retry_ms = int(retry_after_seconds * _MILLISECONDS)
+        link.send(
+            wire.NotRun(subscriber_attempt, kind.value, retry_ms, self.load)
+        )
 
-    def _start(self, queued: _Queued) -> None:
+    def _start(self, queued: _QueuedOffer) -> None:
         offer = queued.offer
         job = self._make_job(offer)
         self._attempts.add(job)
-        for channel, link in queued.links.items():
-            link.send(wire.Admitted(channel, job.generation, self.load))
-            self._listeners.add(job, channel, link)
+        for subscriber_attempt, link in queued.links.items():
+            link.send(
+                wire.Admitted(subscriber_attempt, job.generation, self.load)
+            )
+            self._subscribers.add(job, subscriber_attempt, link)
         self._metrics.count('admitted')
         self._runner.start(job, self._service.model or offer.service)
 
     def _make_job(self, offer: wire.Offer) -> Job:
         if offer.method:
             return CallJob(offer)
-        self._counter += 1
-        incarnation = self._place.incarnation
-        return GenerationJob(offer, f'{incarnation}-{self._counter}')
+        self._generation_count += 1
+        incarnation = self._identity.incarnation
+        return GenerationJob(offer, f'{incarnation}-{self._generation_count}')
 
     def _start_waiting(self) -> None:
         for request in self.admission.admit_waiting():
@@ -300,82 +339,89 @@
 
     def _refuse_waiting(self, attempt: str, kind: ErrorKind) -> None:
         queued = self._queued.pop(attempt)
-        retry = max(_PASSING_RETRY_SECONDS, self.admission.retry_seconds)
-        self._refuse_queued_offer(queued, kind, retry)
+        retry_after_seconds = max(
+            _MIN_RETRY_SECONDS, self.admission.retry_seconds
+        )
+        self._refuse_queued_offer(queued, kind, retry_after_seconds)
 
-    def _withdraw(self, attempt: str) -> None:
+    def _withdraw_offer(self, attempt: str) -> None:
         self._queued.pop(attempt)
         self.admission.withdraw(attempt)
         self._attempts.refuse(attempt)
 
     def _apply_settings(self) -> None:
-        self.admission.limit.retarget(_make_targets(self._service))
-        kind = self._refusal()
+        self.admission.limit.update_targets(_make_targets(self._service))
+        kind = self._find_refusal()
         if kind is not None:
             self._refuse_queued(kind)
 
-    def _fetch(self, fetch: wire.Fetch, link: Link) -> None:
+    def _handle_fetch(self, fetch: wire.Fetch, link: Link) -> None:
         queued = self._queued.get(fetch.claimed_attempt)
-        foreign = fetch.incarnation != self._place.incarnation
-        never_seen = self._attempts.judge(fetch.claimed_attempt) is _NEVER_SEEN
-        if foreign or not never_seen:
+        other_incarnation = fetch.incarnation != self._identity.incarnation
+        never_seen = (
+            self._attempts.find_state(fetch.claimed_attempt) is _NEVER_SEEN
+        )
+        if other_incarnation or not never_seen:
             self._lookup.fetch(fetch, link)
-        elif queued and _is_of(queued.offer, fetch):
+        elif queued and _is_same_organisation(queued.offer, fetch):
             queued.links[fetch.attempt] = link
         else:
-            # Two entries with one key: the loser of the claim may ask here
-            # before the winner's offer comes. Refusing it at once would make
-            # the winner lose its attempt for nothing.
+            # Two entries use the same key: the one that lost the claim may
+            # fetch here before the winner's offer arrives. An immediate
+            # refusal would also refuse the winner's attempt needlessly.
             until = self._clock.monotonic() + _OFFER_GRACE_SECONDS
-            self._parked.append(_Parked(fetch, link, until))
+            self._pending_fetches.append(_PendingFetch(fetch, link, until))
 
-    def _answer_parked(self) -> None:
+    def _answer_expired_fetches(self) -> None:
         now = self._clock.monotonic()
-        parked, self._parked = self._parked, []
-        for each in parked:
-            if each.until <= now:
-                self._lookup.fetch(each.fetch, each.link)
-            elif not each.link.closed:
-                self._parked.append(each)
-
-    def _answer_fetches_of(self, attempt: str) -> None:
-        parked, self._parked = self._parked, []
-        for each in parked:
-            if each.fetch.claimed_attempt == attempt:
-                self._fetch(each.fetch, each.link)
+        pending_fetches, self._pending_fetches = self._pending_fetches, []
+        for pending in pending_fetches:
+            if pending.until <= now:
+                self._lookup.fetch(pending.fetch, pending.link)
+            elif not pending.link.closed:
+                self._pending_fetches.append(pending)
+
+    def _answer_pending_fetches(self, attempt: str) -> None:
+        pending_fetches, self._pending_fetches = self._pending_fetches, []
+        for pending in pending_fetches:
+            if pending.fetch.claimed_attempt == attempt:
+                self._handle_fetch(pending.fetch, pending.link)
             else:
-                self._parked.append(each)
+                self._pending_fetches.append(pending)
 
-    def _cancel(self, cancel: wire.Cancel, link: Link) -> None:
+    def _handle_cancel(self, cancel: wire.Cancel, link: Link) -> None:
         queued = self._queued.get(cancel.attempt)
         if queued is not None and not queued.offer.key_digest:
-            self._withdraw(cancel.attempt)
+            self._withdraw_offer(cancel.attempt)
             return
-        subscriber = self._listeners.find(cancel.attempt, link)
+        subscriber = self._subscribers.find(cancel.attempt, link)
         if subscriber is None:
             return
-        self._listeners.remove(subscriber)
+        self._subscribers.remove(subscriber)
         job = subscriber.job
-        # A claim points at keyed work, so a retry must find its answer.
-        wanted = job.subscribers or job.keyed or job.ended_at is not None
-        if cancel.at_once and not wanted:
+        # A claim refers to keyed work, so a retry must find its answer.
+        needed = job.subscribers or job.keyed or job.ended_at is not None
+        if cancel.at_once and not needed:
             self._runner.cancel(job)
 
-    def _note_end(self, job: Job) -> None:
+    def _handle_job_end(self, job: Job) -> None:
         job.ended_at = self._clock.monotonic()
         job.load = self.load
         self._start_waiting()
 
-    def _note_unrun(self, job: Job, error: NotRunError) -> None:
-        self._attempts.drop_unrun(job)
-        for channel, subscriber in job.subscribers.items():
+    def _handle_not_run(self, job: Job, error: NotRunError) -> None:
+        self._attempts.discard_not_run(job)
+        for subscriber_attempt, subscriber in job.subscribers.items():
             self._send_not_run(
-                subscriber.link, channel, error.kind, error.retry_seconds
+                subscriber.link,
+                subscriber_attempt,
+                error.kind,
+                error.retry_seconds,
             )
-        self._listeners.remove_job(job)
+        self._subscribers.remove_job(job)
         self._start_waiting()
 
-    def _to_request(self, offer: wire.Offer) -> AdmissionRequest:
+    def _make_admission_request(self, offer: wire.Offer) -> AdmissionRequest:
         seconds_left = offer.deadline_ms / _MILLISECONDS
         return AdmissionRequest(
             name=offer.attempt,
@@ -383,7 +429,7 @@
             share=self._store.share_of(offer.team, offer.organisation),
             kind='streamed' if offer.streamed else 'whole',
             template=digest_template(offer.prompt),
-            prompt_tokens=count_tokens(offer.prompt),
+            prompt_tokens=estimate_tokens(offer.prompt),
             longest=offer.max_tokens,
             patience=min(self._service.queue_seconds, seconds_left),
             seconds_left=seconds_left,
@@ -407,7 +453,7 @@
         )
 
 
-def _is_of(offer: wire.Offer, fetch: wire.Fetch) -> bool:
+def _is_same_organisation(offer: wire.Offer, fetch: wire.Fetch) -> bool:
     return _full_name(offer) == fetch.organisation
 
 
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -1,4 +1,4 @@
-"""The concurrency limit, against an engine that is or turns cold."""
+"""Tests of the concurrency limit with an engine that is or turns cold."""
 
 import unittest
 
@@ -11,8 +11,8 @@
 _TARGETS = Targets(start=2, most=32, first_token=0.5, between_tokens=0.03)
 
 
-class Driver:
-    """Keeps an engine as full as the limit allows."""
+class LoadDriver:
+    """Keeps as many streams in an engine as the limit allows."""
 
     def __init__(self, limit, model):
         self.limit = limit
@@ -38,21 +38,22 @@
         if was_cold:
             self.largest_cold_batch = max(self.largest_cold_batch, batch)
         for stream in step.finished:
-            mean = (self.now - self.started[stream.name]) / 20
-            self.limit.observe(mean, mean, batch)
+            mean_seconds = (self.now - self.started[stream.name]) / 20
+            self.limit.observe(mean_seconds, mean_seconds, batch)
 
 
 class LimitTest(unittest.TestCase):
-    """Starting, warm, cold again."""
+    """The limit at a cold engine, a warm one, and one that turns cold."""
 
     def setUp(self):
         self.limit = ConcurrencyLimit(_TARGETS)
         self.shape = EngineShape(cold_tokens=400)
 
     def test_cold_engine_gets_no_more_than_the_start(self):
-        """An engine has just started and bears two requests.
+        """An engine that has just started can serve only two requests.
 
-        Callers must not see it fall over: the limit waits for proof.
+        The limit must not grow before answers show that the engine is warm,
+        or callers would see an overloaded engine.
         """
         driver = self.make_driver(self.shape, 150)
         self.assertLessEqual(driver.largest_cold_batch, _TARGETS.start)
@@ -62,7 +63,7 @@
         self.assertEqual(_TARGETS.most, self.limit.limit)
 
     def test_warm_engine_turns_cold_again(self):
-        """A warm engine turns cold without a word while it is full."""
+        """A full, warm engine turns cold without announcing it."""
         driver = self.make_driver(self.shape, 2000)
         driver.model.turn_cold()
         lowest = self.limit.limit
@@ -71,26 +72,26 @@
             lowest = min(lowest, self.limit.limit)
         self.assertEqual(_TARGETS.start, lowest)
 
-    def test_failure_takes_it_back(self):
+    def test_failure_resets_the_limit(self):
         self.make_driver(EngineShape(), 2000)
         self.limit.note_failure()
         self.assertEqual(_TARGETS.start, self.limit.limit)
 
     def make_driver(self, shape, steps):
-        driver = Driver(self.limit, EngineModel(shape))
+        driver = LoadDriver(self.limit, EngineModel(shape))
         driver.run(steps)
         return driver
 
-    def test_idle_answers_prove_nothing(self):
+    def test_answers_without_load_do_not_raise_the_limit(self):
         for _ in range(200):
             self.limit.observe(0.01, 0.01, running=0)
         self.assertEqual(_TARGETS.start, self.limit.limit)
 
     def test_settings_before_the_first_answer_set_the_start(self):
-        self.limit.retarget(Targets(8, 32, 0.5, 0.03))
+        self.limit.update_targets(Targets(8, 32, 0.5, 0.03))
         self.assertEqual(8, self.limit.limit)
         self.limit.observe(0.01, 0.01, running=8)
-        self.limit.retarget(Targets(4, 6, 0.5, 0.03))
+        self.limit.update_targets(Targets(4, 6, 0.5, 0.03))
         self.assertEqual(6, self.limit.limit)
 
     @settings(derandomize=True, max_examples=200)
@@ -102,7 +103,7 @@
             max_size=60,
         )
     )
-    def test_stays_within_start_and_most(self, answers):
+    def test_stays_within_start_and_maximum(self, answers):
         limit = ConcurrencyLimit(_TARGETS)
         for first, between, running in answers:
             limit.observe(first, between, running)
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -1,4 +1,4 @@
-"""An endpoint's decisions on offers, without sockets and back ends."""
+"""Tests of an endpoint's worker, without sockets and real back ends."""
 
 import asyncio
 import json
@@ -17,11 +17,11 @@
 from primrosewood.settings import SettingsStore
 from primrosewood.worker import Place, Worker
 
-_PLACE = Place('e1', 'i1', 't', 's', 'd1')
+_IDENTITY = Place('e1', 'i1', 't', 's', 'd1')
 
 
-class FakeLink:
-    """Keeps what would be sent; sources are asked at once."""
+class RecordingLink:
+    """Records messages; sources that notify it are collected at once."""
 
     def __init__(self):
         self.sent = []
@@ -33,42 +33,42 @@
     def notify(self, source):
         self.sent += source.collect()
 
-    def kinds(self):
+    def message_types(self):
         return [type(message).__name__ for message in self.sent]
 
 
 class FakeBackend:
-    """An engine of three tokens and a service, each counting its runs."""
+    """Engine that sends two tokens, and plain service; records its calls."""
 
     def __init__(self):
-        self.runs = []
-        self.cut = None
-        self.kept = True
+        self.calls = []
+        self.failure = None
+        self.keeps_stream = True
 
     async def generate(self, call):
-        self.runs.append(call.generation)
-        if isinstance(self.cut, NotRunError):
-            raise self.cut
+        self.calls.append(call.generation)
+        if isinstance(self.failure, NotRunError):
+            raise self.failure
         yield EngineToken(0, 'a ')
-        if self.cut:
+        if self.failure:
             raise BackendCutError('cut')
         yield EngineToken(1, 'b ')
         yield EngineToken(2, '', 'stop')
 
     async def resume(self, generation, offset):
-        if not self.kept:
+        if not self.keeps_stream:
             raise StreamUnknownError
         for index in range(offset, 2):
             yield EngineToken(index, 'ab'[index] + ' ')
         yield EngineToken(2, '', 'stop')
 
     async def cancel(self, generation):
-        self.runs.append(f'cancel {generation}')
+        self.calls.append(f'cancel {generation}')
 
     async def call(self, call):
-        self.runs.append(call.attempt)
-        if self.cut:
-            raise self.cut
+        self.calls.append(call.attempt)
+        if self.failure:
+            raise self.failure
         return CallResult(201, 'text/plain', b'done')
 
 
@@ -92,15 +92,15 @@
 
 
 class WorkerTest(unittest.IsolatedAsyncioTestCase):
-    """Offers, repeats, questions about attempts."""
+    """Offers, duplicates, fetches and cancels."""
 
     def setUp(self):
         self.store = SettingsStore()
         self.backend = FakeBackend()
-        self.link = FakeLink()
+        self.link = RecordingLink()
         self.revision = 0
         self.worker = Worker(
-            _PLACE,
+            _IDENTITY,
             self.store,
             self.backend,
             self.backend,
@@ -110,7 +110,7 @@
             Metrics(),
         )
 
-    def put(self, state='in', **service):
+    def apply_settings(self, state='in', **service):
         self.revision += 1
         document = {
             'services': {'s': {'kind': 'model', **service}},
@@ -120,156 +120,163 @@
             wire.SettingsRecord('t', self.revision, json.dumps(document))
         )
 
-    async def settle(self):
+    async def run_pending_tasks(self):
         for _ in range(20):
             await asyncio.sleep(0)
 
     def last_refusal(self):
-        refusals = [m for m in self.link.sent if isinstance(m, wire.NotRun)]
+        refusals = [
+            each for each in self.link.sent if isinstance(each, wire.NotRun)
+        ]
         return ErrorKind(refusals[-1].kind) if refusals else None
 
     async def offer(self, *args, **changes):
         self.worker.handle(make_offer(*args, **changes), self.link)
-        await self.settle()
+        await self.run_pending_tasks()
 
     async def test_runs_and_sends_everything_once(self):
-        self.put()
+        self.apply_settings()
         await self.offer()
-        tokens = [m for m in self.link.sent if isinstance(m, wire.Tokens)]
+        tokens = [
+            each for each in self.link.sent if isinstance(each, wire.Tokens)
+        ]
         pieces = [piece for message in tokens for piece in message.pieces]
         self.assertEqual(['a ', 'b '], pieces)
-        self.assertEqual('Finished', self.link.kinds()[-1])
+        self.assertEqual('Finished', self.link.message_types()[-1])
 
     async def test_refuses_while_its_domain_is_out(self):
-        """An entry that is cut off from all settings keeps offering.
+        """An entry that receives no settings keeps sending offers.
 
-        The zone is out and may be gone in a minute: nothing may start there.
+        The failure domain is out and may be shut down soon, so nothing may
+        start there.
         """
-        self.put('out')
+        self.apply_settings('out')
         await self.offer()
         self.assertEqual(ErrorKind.domain_out, self.last_refusal())
-        self.assertEqual([], self.backend.runs)
-        self.put('in')
+        self.assertEqual([], self.backend.calls)
+        self.apply_settings('in')
         await self.offer('a2')
-        self.assertEqual(1, len(self.backend.runs))
+        self.assertEqual(1, len(self.backend.calls))
 
     async def test_refuses_without_settings_and_while_leaving(self):
         await self.offer()
         self.assertEqual(ErrorKind.settings_missing, self.last_refusal())
-        self.put()
+        self.apply_settings()
         self.worker.leave()
         await self.offer('a2')
         self.assertEqual(ErrorKind.leaving, self.last_refusal())
         await self.offer('a3', service='other')
-        self.assertEqual([], self.backend.runs)
+        self.assertEqual([], self.backend.calls)
 
     async def test_delayed_copy_of_a_refused_offer(self):
-        """An offer is refused as not run; a copy of it comes later."""
-        self.put('out')
+        """An offer is refused as not run; a duplicate arrives later."""
+        self.apply_settings('out')
         await self.offer()
-        self.put('in')
+        self.apply_settings('in')
         await self.offer()
         self.assertEqual(ErrorKind.never_offered, self.last_refusal())
-        self.assertEqual([], self.backend.runs)
+        self.assertEqual([], self.backend.calls)
 
     async def test_repeated_offer_runs_once(self):
-        self.put()
+        self.apply_settings()
         await self.offer()
         await self.offer()
-        self.assertEqual(1, len(self.backend.runs))
+        self.assertEqual(1, len(self.backend.calls))
 
-    async def test_waiting_is_refused_when_the_domain_goes_out(self):
-        self.put(start_running=1, max_running=1)
+    async def test_queued_offer_is_refused_when_the_domain_goes_out(self):
+        self.apply_settings(start_running=1, max_running=1)
         self.worker.handle(make_offer('a1'), self.link)
         self.worker.handle(make_offer('a2'), self.link)
-        self.assertIn('Queued', self.link.kinds())
-        self.put('out', start_running=1, max_running=1)
+        self.assertIn('Queued', self.link.message_types())
+        self.apply_settings('out', start_running=1, max_running=1)
         self.assertEqual(ErrorKind.domain_out, self.last_refusal())
-        await self.settle()
-        self.assertEqual(1, len(self.backend.runs))
+        await self.run_pending_tasks()
+        self.assertEqual(1, len(self.backend.calls))
 
-    async def test_asked_for_an_attempt_that_never_came(self):
-        """An entry died between its claim and its offer.
+    async def test_fetch_of_an_attempt_that_never_came(self):
+        """An entry dies between its claim and its offer.
 
-        The retry's entry learns for certain that it never ran; the offer,
-        should it come yet, is refused.
+        The entry that handles the retry is told that the attempt never ran;
+        the offer is refused if it arrives after all.
         """
-        self.put()
+        self.apply_settings()
         self.worker.handle(make_fetch(), self.link)
         self.assertEqual([], self.link.sent)
         await asyncio.sleep(0.35)
         self.worker.tick()
         self.assertEqual(ErrorKind.never_offered, self.last_refusal())
         await self.offer()
-        self.assertEqual([], self.backend.runs)
+        self.assertEqual([], self.backend.calls)
 
-    async def test_asked_just_before_the_offer_comes(self):
-        """Two entries hold one key; the loser asks before the offer comes."""
-        self.put()
-        asking = FakeLink()
-        self.worker.handle(make_fetch(), asking)
+    async def test_fetch_just_before_the_offer_comes(self):
+        """Two entries use one key; the loser fetches before the offer."""
+        self.apply_settings()
+        fetching_link = RecordingLink()
+        self.worker.handle(make_fetch(), fetching_link)
         await self.offer(key_digest='k')
-        self.assertEqual(1, len(self.backend.runs))
-        self.assertEqual('Finished', asking.kinds()[-1])
-        self.assertEqual('Finished', self.link.kinds()[-1])
+        self.assertEqual(1, len(self.backend.calls))
+        self.assertEqual('Finished', fetching_link.message_types()[-1])
+        self.assertEqual('Finished', self.link.message_types()[-1])
 
-    async def test_asked_for_what_another_run_of_the_process_did(self):
-        self.put()
+    async def test_fetch_of_an_older_incarnation(self):
+        self.apply_settings()
         self.worker.handle(make_fetch(incarnation='older'), self.link)
         self.assertEqual('outcome_unknown', self.link.sent[-1].kind)
 
-    async def test_asked_by_another_organisation(self):
-        self.put()
+    async def test_fetch_by_another_organisation(self):
+        self.apply_settings()
         await self.offer(key_digest='k')
         self.worker.handle(make_fetch(organisation='t/other'), self.link)
         self.assertEqual('forbidden', self.link.sent[-1].kind)
 
     async def test_kept_answer_of_a_call(self):
-        self.put(kind='plain')
+        self.apply_settings(kind='plain')
         await self.offer(method='POST', path='/x', key_digest='k')
         self.worker.handle(make_fetch(), self.link)
-        replies = [m for m in self.link.sent if isinstance(m, wire.Reply)]
-        self.assertEqual([b'done', b'done'], [m.body for m in replies])
-        self.assertEqual(1, len(self.backend.runs))
-
-    async def test_call_that_broke_off(self):
-        self.put(kind='plain')
-        self.backend.cut = BackendCutError('cut')
+        replies = [
+            each for each in self.link.sent if isinstance(each, wire.Reply)
+        ]
+        self.assertEqual([b'done', b'done'], [each.body for each in replies])
+        self.assertEqual(1, len(self.backend.calls))
+
+    async def test_call_whose_connection_broke(self):
+        self.apply_settings(kind='plain')
+        self.backend.failure = BackendCutError('cut')
         await self.offer(method='POST', path='/x')
         self.assertEqual('outcome_unknown', self.link.sent[-1].kind)
 
-    async def test_back_end_that_is_not_there(self):
-        self.put()
-        self.backend.cut = NotRunError(ErrorKind.no_endpoint)
+    async def test_back_end_refuses_connections(self):
+        self.apply_settings()
+        self.backend.failure = NotRunError(ErrorKind.no_endpoint)
         await self.offer()
         self.assertEqual(ErrorKind.no_endpoint, self.last_refusal())
         self.assertEqual(0, self.worker.admission.running)
 
-    async def test_engine_that_lost_the_stream(self):
-        self.put()
-        self.backend.cut, self.backend.kept = True, False
+    async def test_engine_lost_the_stream(self):
+        self.apply_settings()
+        self.backend.failure, self.backend.keeps_stream = True, False
         await self.offer()
         self.assertEqual('generation_lost', self.link.sent[-1].kind)
 
-    async def test_withdrawn_while_waiting(self):
-        self.put(start_running=1, max_running=1)
+    async def test_cancel_withdraws_a_queued_offer(self):
+        self.apply_settings(start_running=1, max_running=1)
         self.worker.handle(make_offer('a1'), self.link)
         self.worker.handle(make_offer('a2'), self.link)
         self.worker.handle(wire.Cancel('a2'), self.link)
-        await self.settle()
-        self.assertEqual(1, len(self.backend.runs))
+        await self.run_pending_tasks()
+        self.assertEqual(1, len(self.backend.calls))
 
-    async def test_stops_only_when_all_was_handed_on(self):
-        self.put()
+    async def test_idle_only_when_all_is_delivered(self):
+        self.apply_settings()
         await self.offer(streamed=True)
         self.assertFalse(self.worker.idle)
         self.worker.handle(wire.Credit('a1', 2), self.link)
         self.assertTrue(self.worker.idle)
 
-    async def test_credit_bounds_what_is_sent_ahead(self):
-        self.worker._listeners._window = 1
-        self.put()
+    async def test_credit_bounds_tokens_sent_ahead(self):
+        self.worker._subscribers._window_tokens = 1
+        self.apply_settings()
         await self.offer()
-        self.assertNotIn('Finished', self.link.kinds())
+        self.assertNotIn('Finished', self.link.message_types())
         self.worker.handle(wire.Credit('a1', 1), self.link)
-        self.assertEqual('Finished', self.link.kinds()[-1])
+        self.assertEqual('Finished', self.link.message_types()[-1])
