--- a/primrosewood/jobs.py
+++ b/primrosewood/jobs.py
@@ -72,7 +72,20 @@
 
 
 class Job:
-    """Work of one attempt: runs once and has any number of subscribers."""
+    """Work of one attempt: runs once and has any number of subscribers.
+
+    Attributes
+    ----------
+    subscribers
+        Subscribers by the identifiers of their attempts.
+    ended_at, orphaned_at
+        Monotonic times when it ended, and when it lost its last subscriber
+        or, if cancelled for that, when it was cancelled.
+    load
+        Load of the endpoint when it ended, sent with the outcome.
+    delivered
+        Whether a subscriber has forwarded the whole outcome.
+    """
 
     def __init__(self, offer: wire.Offer) -> None:
         """Start without subscribers."""
--- a/primrosewood/lengths.py
+++ b/primrosewood/lengths.py
@@ -29,6 +29,7 @@
     return edges
 
 
+# Boundaries of the histogram buckets, in tokens.
 _EDGES = _make_edges()
 
 
--- a/primrosewood/worker.py
+++ b/primrosewood/worker.py
@@ -57,8 +57,8 @@
 
 
 @dataclass(slots=True)
-class _QueuedOffer:
-    """A queued offer with the connections that wait for its outcome.
+class _PendingOffer:
+    """An offer with the connections that wait for its outcome.
 
     `links` maps the attempt that each entry uses in its messages to the
     connection of that entry.
@@ -117,7 +117,7 @@
         self._subscribers = SubscriberRegistry(
             clock, limits.stream_window_tokens
         )
-        self._queued: dict[str, _QueuedOffer] = {}
+        self._queued: dict[str, _PendingOffer] = {}
         self._pending_fetches: list[_PendingFetch] = []
         self._generation_count = 0
         self._leaving = False
@@ -247,7 +247,7 @@
             self._refuse(offer, link, error.kind, error.retry_seconds)
             return
         self._log(offer, 'run' if started else 'queue')
-        queued = _QueuedOffer(offer, {offer.attempt: link})
+        queued = _PendingOffer(offer, {offer.attempt: link})
         if started:
             self._start(queued)
             return
@@ -280,13 +280,13 @@
         retry_after_seconds: float,
     ) -> None:
         self._refuse_queued_offer(
-            _QueuedOffer(offer, {offer.attempt: link}),
+            _PendingOffer(offer, {offer.attempt: link}),
             kind,
             retry_after_seconds,
         )
 
     def _refuse_queued_offer(
-        self, queued: _QueuedOffer, kind: ErrorKind, retry_after_seconds: float
+        self, queued: _PendingOffer, kind: ErrorKind, retry_after_seconds: float
     ) -> None:
         self._attempts.refuse(queued.offer.attempt)
         self._metrics.count('refused', kind.value)
@@ -308,7 +308,7 @@
             wire.NotRun(subscriber_attempt, kind.value, retry_ms, self.load)
         )
 
-    def _start(self, queued: _QueuedOffer) -> None:
+    def _start(self, queued: _PendingOffer) -> None:
         offer = queued.offer
         job = self._make_job(offer)
         self._attempts.add(job)
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -196,7 +196,7 @@
     async def test_fetch_of_an_attempt_that_never_came(self):
         """An entry dies between its claim and its offer.
 
-        The entry that handles the retry is told that the attempt never ran;
+        The entry that handles the retry learns that the attempt never ran;
         the offer is refused if it arrives after all.
         """
         self.apply_settings()
