--- a/primrosewood/retries.py
+++ b/primrosewood/retries.py
@@ -1,45 +1,49 @@
-"""Budget for retries, so that a lost failure domain brings no retry storm."""
+"""Retry budget and jitter, which prevent retry storms."""
 
 __all__ = ('RetryBudget', 'jitter')
 
-_RESERVE = 10.0
-_JITTER = 0.5
+_RESERVE_RETRIES = 10.0
+_MAX_JITTER_SHARE = 0.5
 
 
 class RetryBudget:
-    """Retries as a share of first attempts, with a small reserve."""
+    """Limits retries to a share of first attempts plus a small reserve.
+
+    The limit prevents a retry storm when a failure domain is lost and all
+    attempts there fail at once.
+    """
 
     def __init__(self, share: float) -> None:
-        """Start with the reserve full.
+        """Start with a full reserve.
 
         Parameters
         ----------
         share
-            Retries earned by each first attempt.
+            Retries that each first attempt allows.
         """
         self.share = share
-        self._tokens = _RESERVE
+        self._available = _RESERVE_RETRIES
 
     def earn(self) -> None:
-        """Count a first attempt."""
-        self._tokens = min(_RESERVE, self._tokens + self.share)
+        """Add the share of one first attempt, up to the reserve."""
+        self._available = min(_RESERVE_RETRIES, self._available + self.share)
 
     def spend(self) -> bool:
-        """Take one retry; False when the budget is used up."""
-        if self._tokens < 1:
+        """Use one retry; False when the budget is exhausted."""
+        if self._available < 1:
             return False
-        self._tokens -= 1
+        self._available -= 1
         return True
 
 
-def jitter(seconds: float, random: float) -> float:
-    """Spread a retry time upwards, so that callers do not return as one.
+def jitter(seconds: float, fraction: float) -> float:
+    """Lengthen a retry delay at random, so that retries do not coincide.
 
     Parameters
     ----------
     seconds
-        When to come back at the earliest.
-    random
-        A number in [0, 1).
+        The shortest delay.
+    fraction
+        A random number in [0, 1).
     """
-    return seconds * (1 + _JITTER * random)
+    return seconds * (1 + _MAX_JITTER_SHARE * fraction)
--- a/primrosewood/routing.py
+++ b/primrosewood/routing.py
@@ -1,4 +1,4 @@
-"""Choice of an endpoint for an attempt, from a view that lags."""
+"""Load-balancing policies: choose an endpoint from delayed load reports."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -23,23 +23,23 @@
     'make_policy',
 )
 
-_SAMPLE = 4
+_SAMPLE_SIZE = 4
 _PREFIX_CHARACTERS = 256
-_PREFIXES_KEPT = 4096
+_MAX_PREFIXES = 4096
 _AFFINITY_SLACK = 0.25
-_MEMORY_FULL = 1000
+_FULL_MEMORY = 1000  # endpoints report memory in thousandths of capacity
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """What the choice may look at.
+    """Properties of a request that a policy may use.
 
     Attributes
     ----------
     organisation
         Full name of the caller's organisation.
     prompt
-        Prompt of a generation, empty for a plain call.
+        Prompt of a generation, empty for a call of a plain service.
     """
 
     organisation: str
@@ -48,7 +48,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """A chosen endpoint with the reason and how many were looked at."""
+    """A chosen endpoint.
+
+    Attributes
+    ----------
+    endpoint
+        The endpoint that gets the offer.
+    why
+        Reason for the choice, as it is logged.
+    seen
+        Number of endpoints that were compared.
+    """
 
     endpoint: EndpointView
     why: str
@@ -56,18 +66,18 @@
 
 
 class Policy(Protocol):
-    """A way to choose; ``usable`` is never empty."""
+    """A load-balancing policy; ``usable`` is never empty."""
 
     def choose(self, usable: Sequence[EndpointView], work: Work) -> Choice:
         """Return the endpoint that gets the offer."""
 
 
 class RoundRobin:
-    """Each endpoint in turn."""
+    """Chooses each endpoint in turn."""
 
     def __init__(self, random: RandomSource) -> None:
-        """Start anywhere, so that entries do not walk in step."""
-        self._next = int(random.random() * _PREFIXES_KEPT)
+        """Start at a random position, so that entries do not move in step."""
+        self._next = int(random.random() * _MAX_PREFIXES)
 
     def choose(self, usable: Sequence[EndpointView], work: Work) -> Choice:
         """Return the endpoint that gets the offer."""
@@ -76,75 +86,75 @@
 
 
 class LeastOutstanding:
-    """The endpoint with the fewest attempts of this entry."""
+    """Chooses the endpoint with the fewest open attempts of this entry."""
 
     def __init__(self, random: RandomSource) -> None:
-        """Keep the random source that breaks ties."""
+        """Use the random source to break ties."""
         self._random = random
 
     def choose(self, usable: Sequence[EndpointView], work: Work) -> Choice:
         """Return the endpoint that gets the offer."""
         least = min(
-            usable, key=lambda each: (each.outstanding, self._random.random())
+            usable, key=lambda view: (view.outstanding, self._random.random())
         )
         return Choice(least, 'least', len(usable))
 
 
 class TwoChoices:
-    """The better of two sampled at random."""
+    """Samples two endpoints and chooses the one with fewer open attempts."""
 
     def __init__(self, random: RandomSource) -> None:
-        """Keep the random source."""
+        """Use the random source to sample."""
         self._random = random
 
     def choose(self, usable: Sequence[EndpointView], work: Work) -> Choice:
         """Return the endpoint that gets the offer."""
         sampled = _sample(self._random, usable, 2)
         return Choice(
-            min(sampled, key=lambda each: each.outstanding), 'two', len(sampled)
+            min(sampled, key=lambda view: view.outstanding), 'two', len(sampled)
         )
 
 
 class PressurePolicy:
-    """The least pressed of a few sampled, or a near one that knows the prompt.
+    """Chooses the least loaded of a sample, with prefix affinity.
 
-    Candidates are sampled, not sorted: entries with the same lagging view
-    would all pick the head of the same list. The endpoint that last served a
-    prompt's beginning is preferred while its pressure is close to the best
-    of the sample.
+    Candidates are sampled, not sorted: entries that see the same delayed
+    load reports would all choose the same endpoint. The endpoint that last
+    served a prompt with the same beginning may have it in its KV cache, and
+    is preferred while its score is close to the best of the sample.
     """
 
     def __init__(self, random: RandomSource) -> None:
-        """Start without knowledge of prompts."""
+        """Start without recorded prefixes."""
         self._random = random
-        self._prefixes: OrderedDict[int, str] = OrderedDict()
+        self._endpoint_by_prefix: OrderedDict[int, str] = OrderedDict()
 
     def choose(self, usable: Sequence[EndpointView], work: Work) -> Choice:
         """Return the endpoint that gets the offer."""
-        sampled = _sample(self._random, usable, _SAMPLE)
+        sampled = _sample(self._random, usable, _SAMPLE_SIZE)
         best = min(sampled, key=_score)
         if not work.prompt:
             return Choice(best, 'pressure', len(sampled))
         prefix = _hash_prefix(work)
-        known = self._find_known(prefix, usable)
-        if known and _score(known) <= _score(best) + _AFFINITY_SLACK:
-            return Choice(known, 'prefix', len(sampled))
-        self._remember(prefix, best.name)
+        previous = self._find_previous(prefix, usable)
+        if previous and _score(previous) <= _score(best) + _AFFINITY_SLACK:
+            return Choice(previous, 'prefix', len(sampled))
+        self._record_prefix(prefix, best.name)
         return Choice(best, 'pressure', len(sampled))
 
-    def _find_known(
+    def _find_previous(
         self, prefix: int, usable: Sequence[EndpointView]
     ) -> EndpointView | None:
-        name = self._prefixes.get(prefix)
+        name = self._endpoint_by_prefix.get(prefix)
         if name is None:
             return None
-        return next((each for each in usable if each.name == name), None)
+        return next((view for view in usable if view.name == name), None)
 
-    def _remember(self, prefix: int, name: str) -> None:
-        self._prefixes[prefix] = name
-        self._prefixes.move_to_end(prefix)
-        if len(self._prefixes) > _PREFIXES_KEPT:
-            self._prefixes.popitem(last=False)
+    def _record_prefix(self, prefix: int, name: str) -> None:
+        self._endpoint_by_prefix[prefix] = name
+        self._endpoint_by_prefix.move_to_end(prefix)
+        if len(self._endpoint_by_prefix) > _MAX_PREFIXES:
+            self._endpoint_by_prefix.popitem(last=False)
 
 
 POLICIES = MappingProxyType(
@@ -158,7 +168,7 @@
 
 
 def make_policy(name: str, random: RandomSource) -> Policy:
-    """Return the policy of a name from the settings."""
+    """Return a new policy by its name in the settings."""
     return POLICIES[name](random)
 
 
@@ -171,9 +181,9 @@
 
 
 def _score(endpoint: EndpointView) -> float:
-    return endpoint.pressure + endpoint.load.memory / _MEMORY_FULL
+    return endpoint.pressure + endpoint.load.memory / _FULL_MEMORY
 
 
 def _hash_prefix(work: Work) -> int:
-    start = work.prompt[:_PREFIX_CHARACTERS]
-    return xxhash.xxh64_intdigest(f'{work.organisation}/{start}'.encode())
+    beginning = work.prompt[:_PREFIX_CHARACTERS]
+    return xxhash.xxh64_intdigest(f'{work.organisation}/{beginning}'.encode())
--- a/primrosewood/selection.py
+++ b/primrosewood/selection.py
@@ -1,4 +1,4 @@
-"""Which endpoints of a service one entry keeps connected."""
+"""Selects the endpoints of a service that an entry connects to."""
 
 import math
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An endpoint as the selection sees it."""
+    """The properties of an endpoint that the selection uses."""
 
     name: str
     failure_domain: str
@@ -25,11 +25,11 @@
 ) -> list[str]:
     """Choose endpoints by rendezvous hashing, spread over failure domains.
 
-    A failure domain gives a part of the subset in proportion to its
-    endpoints, so that each endpoint is chosen by as many entries as any
-    other; where the part is no whole number, a systematic sample that starts
-    at the entry's hash rounds it. Within a failure domain an endpoint's rank
-    does not depend on the others, so a change of membership moves few
+    Each failure domain contributes to the subset in proportion to its number
+    of endpoints, so that all endpoints are chosen by about the same number of
+    entries. Systematic sampling with a start at the entry's hash rounds the
+    fractional counts. Within a failure domain an endpoint's rank does not
+    depend on the other endpoints, so a change of membership moves few
     connections.
 
     Parameters
@@ -39,30 +39,30 @@
     endpoints
         Endpoints of one service.
     size
-        How many to choose at the most.
+        Intended size of the subset; rounding may change it by one.
 
     Returns
     -------
     list of str
-        Names, sorted.
+        Names of the chosen endpoints, sorted.
     """
     domains: dict[str, list[str]] = {}
     for endpoint in endpoints:
         members = domains.setdefault(endpoint.failure_domain, [])
         members.append(endpoint.name)
     total = sum(len(members) for members in domains.values())
-    share = min(1, size / total) if total else 0
+    fraction = min(1, size / total) if total else 0
     position = _hash(entry) / _HASH_RANGE
     chosen: list[str] = []
     for domain in sorted(domains):
         members = domains[domain]
         before = math.floor(position)
-        position += len(members) * share
-        chosen += _best_ranked(entry, members, math.floor(position) - before)
+        position += len(members) * fraction
+        chosen += _first_ranked(entry, members, math.floor(position) - before)
     return sorted(chosen)
 
 
-def _best_ranked(entry: str, members: list[str], count: int) -> list[str]:
+def _first_ranked(entry: str, members: list[str], count: int) -> list[str]:
     ranked = sorted(members, key=lambda name: _hash(f'{entry}/{name}'))
     return ranked[:count]
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint, and the budget for another one."""
+"""Load-balancing policies, the retry budget and the jitter."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
 
 
 class PolicyTest(unittest.TestCase):
-    """All policies, and the system's own."""
+    """All policies, and the default one, which uses the pressure."""
 
     @settings(derandomize=True, max_examples=100)
     @given(st.integers(1, 30), st.sampled_from(sorted(POLICIES)), st.integers())
@@ -33,24 +33,25 @@
             choice = policy.choose(usable, Work('t/o', 'prompt'))
             self.assertIn(choice.endpoint, usable)
 
-    def test_pressed_endpoints_are_left_alone(self):
+    def test_loaded_endpoint_is_not_chosen(self):
         usable = [make_view(0, running=10), make_view(1, running=1)]
         policy = PressurePolicy(random.Random(1))
         for _ in range(20):
             choice = policy.choose(usable, Work('t/o'))
             self.assertEqual('e1', choice.endpoint.name)
 
-    def test_own_offers_count_until_the_next_report(self):
+    def test_own_offers_count_until_next_report(self):
         view = make_view(0, running=2)
         view.offered = 3
         self.assertEqual(0.5, view.pressure)
         view.take_load(Load(running=4, queued=0, limit=10))
         self.assertEqual(0.4, view.pressure)
 
-    def test_entries_with_one_view_do_not_agree_on_one_victim(self):
-        """A hundred entries see the same lagging loads in one moment.
+    def test_entries_with_same_view_choose_different_endpoints(self):
+        """A hundred entries choose by the same delayed load reports.
 
-        Were they to sort, they would all send to the same endpoint.
+        A policy that sorts the endpoints would send all their requests to
+        the same one.
         """
         usable = [make_view(number, running=number % 3) for number in range(30)]
         chosen = Counter(
@@ -61,7 +62,7 @@
         )
         self.assertLess(max(chosen.values()), 20)
 
-    def test_same_beginning_goes_to_the_same_endpoint_while_it_has_room(self):
+    def test_same_prefix_prefers_its_endpoint_until_loaded(self):
         usable = [make_view(number) for number in range(10)]
         policy = PressurePolicy(random.Random(1))
         work = Work('t/o', 'You draft certificates. ' * 20)
@@ -71,7 +72,7 @@
         first.take_load(Load(running=9, queued=0, limit=10))
         self.assertIsNot(first, policy.choose(usable, work).endpoint)
 
-    def test_known_endpoint_that_is_gone(self):
+    def test_prefix_of_a_removed_endpoint(self):
         usable = [make_view(number) for number in range(3)]
         policy = PressurePolicy(random.Random(1))
         work = Work('t/o', 'prompt')
@@ -81,12 +82,12 @@
 
 
 class RetryTest(unittest.TestCase):
-    """Retries as a share of first attempts."""
+    """Retries limited to a share of first attempts."""
 
     @settings(derandomize=True, max_examples=100)
     @given(st.lists(st.booleans(), max_size=400))
-    def test_never_more_than_share_and_reserve(self, events):
-        """A failure domain goes, and every attempt there wants a retry."""
+    def test_retries_stay_within_share_and_reserve(self, events):
+        """A failure domain is lost, and every attempt there needs a retry."""
         budget = RetryBudget(0.2)
         earned = spent = 0
         for is_first in events:
@@ -97,7 +98,7 @@
                 spent += budget.spend()
             self.assertLessEqual(spent, 10 + 0.2 * earned + 1e-6)
 
-    def test_jitter_only_adds(self):
+    def test_jitter_only_lengthens(self):
         for number in (0, 0.5, 0.999):
             self.assertGreaterEqual(jitter(2.0, number), 2.0)
             self.assertLess(jitter(2.0, number), 3.0)
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""Subsets of endpoints."""
+"""Selection of the subset of endpoints that an entry connects to."""
 
 import unittest
 from collections import Counter
@@ -14,7 +14,7 @@
 
 
 class SubsetTest(unittest.TestCase):
-    """What every subset has in common."""
+    """Size, spread over failure domains, balance and stability."""
 
     @settings(derandomize=True, max_examples=200)
     @given(st.integers(0, 40), st.integers(1, 12), st.integers(1, 5), st.text())
@@ -25,17 +25,18 @@
         self.assertLessEqual(set(chosen), {each.name for each in candidates})
         self.assertLessEqual(abs(len(chosen) - min(size, count)), 1)
 
-    def test_every_domain_is_in_it(self):
+    def test_every_domain_is_represented(self):
         candidates = make_candidates(30, domains=5)
         for number in range(50):
             chosen = select_subset(f'entry-{number}', candidates, 5)
             domains = {int(name[1:]) % 5 for name in chosen}
             self.assertEqual(5, len(domains))
 
-    def test_even_over_unequal_domains(self):
-        """Two failure domains, one of them a fifth of the other's size.
+    def test_balanced_over_unequal_domains(self):
+        """One failure domain has a fifth of the other's endpoints.
 
-        An endpoint in the small one must not get five times the work.
+        Equal shares for both domains would give an endpoint in the small one
+        five times the load.
         """
         candidates = [
             Candidate(f'e{n}', 'small' if n < 5 else 'large') for n in range(30)
@@ -47,7 +48,7 @@
         large = sum(counts[f'e{n}'] for n in range(5, 30)) / 25
         self.assertLess(abs(small / large - 1), 0.25)
 
-    def test_one_leaving_moves_few(self):
+    def test_removed_endpoint_moves_few_connections(self):
         candidates = make_candidates(30)
         moved = 0
         for number in range(100):
