--- a/primrosewood/claimrouter.py
+++ b/primrosewood/claimrouter.py
@@ -1,10 +1,10 @@
-"""Brings each claim to the one entry that writes its shard.
+"""Routes each claim of an idempotency key to the entry that writes its shard.
 
-Entries that all write the same page lose most of their swaps to each other.
-So every shard has one writer, chosen by rendezvous hashing over the entries
-known; the others send it their claims. Who the writer is may be seen in two
-ways for a while, or it may be gone: then two entries write the page and the
-swap decides, as it always does. Safety does not rest on the writer.
+When all entries write the same page, most of their compare-and-swaps fail on
+conflicts. So each shard has one writer, chosen by rendezvous hashing over the
+known entries, and the others send it their claims. Entries may disagree on
+the writer for a while, or it may be gone: then several entries write the page
+and the compare-and-swap decides. Safety does not depend on the writer.
 """
 
 import asyncio
@@ -25,20 +25,21 @@
 
 
 class ClaimRouter:
-    """The claims of one entry, and those that others send to it.
+    """Handles the claims of one entry and those that others send to it.
 
     Parameters
     ----------
     name
-        This entry.
+        Name of this entry.
     keeper
         Writes claims to the key-value service.
     fleet, links
-        Where the other entries are.
+        Known processes, and the connections to them.
     shards
-        Number of shards.
+        Number of shards of claims.
     patience
-        Seconds to wait for another entry before writing the claim oneself.
+        Timeout in seconds for another entry's answer, after which this entry
+        writes the claim itself.
     """
 
     def __init__(
@@ -50,46 +51,46 @@
         shards: int,
         patience: float,
     ) -> None:
-        """Take the parts."""
+        """Bind to the claims and connections of one entry."""
         self._name = name
         self._keeper = keeper
         self._fleet = fleet
         self._links = links
         self._shards = shards
-        self._patience = patience
+        self._timeout_seconds = patience
 
-    async def claim(self, wish: Wish) -> ClaimResult:
-        """Write a claim, or learn which one stands.
+    async def claim(self, proposal: Wish) -> ClaimResult:
+        """Write a claim, or return the one already in force for its key.
 
         Raises
         ------
         StoreUnavailableError
             The service did not answer in time.
         """
-        writer = self._find_writer(wish.record.digest)
+        writer = self._find_writer(proposal.record.digest)
         if writer is not None:
-            told = await self._ask(writer, wish)
-            if told is not None:
-                return told
-        # The writer may have written the claim and died before it told us.
-        # The nonce in the page shows it to be ours.
-        return await self._keeper.claim(wish)
+            reply = await self._ask_writer(writer, proposal)
+            if reply is not None:
+                return reply
+        # The writer may have written the claim without answering. Its nonce
+        # in the page then identifies it as this entry's claim.
+        return await self._keeper.claim(proposal)
 
     async def look_up(self, digest: str) -> ClaimRecord | None:
-        """Return the claim that stands for a key."""
+        """Read the claim in force for a key, None when there is none."""
         return await self._keeper.look_up(digest)
 
     def handle(self, ask: wire.ClaimAsk, link: Link) -> None:
-        """Write the claim of another entry and tell it the outcome."""
-        spawn(self._serve(ask, link), 'claim of a peer')
+        """Write the claim of another entry and send back the result."""
+        spawn(self._write_for_peer(ask, link), 'claim of a peer')
 
     def writers(self) -> set[str]:
-        """Return the other entries that write a shard."""
+        """Return the names of the other entries that write a shard."""
         names = self._entry_names()
         chosen = {choose_writer(shard, names) for shard in range(self._shards)}
         return chosen - {self._name}
 
-    async def _serve(self, ask: wire.ClaimAsk, link: Link) -> None:
+    async def _write_for_peer(self, ask: wire.ClaimAsk, link: Link) -> None:
         try:
             result = await self._keeper.claim(Wish(ask.record, ask.replaces))
         except (StoreUnavailableError, WireError):
@@ -97,23 +98,27 @@
             return
         link.send(wire.ClaimTold(ask.attempt, result.record))
 
-    async def _ask(self, writer: LinkClient, wish: Wish) -> ClaimResult | None:
-        """Return the writer's answer, None when it gave none."""
+    async def _ask_writer(
+        self, writer: LinkClient, proposal: Wish
+    ) -> ClaimResult | None:
+        """Return the writer's result, None when it gave none in time."""
         inbox = Inbox()
         channel = make_identifier()
         writer.open_inbox(channel, inbox)
         try:
-            async with asyncio.timeout(self._patience):
-                writer.send(wire.ClaimAsk(channel, wish.record, wish.replaces))
-                told = await inbox.receive()
+            async with asyncio.timeout(self._timeout_seconds):
+                writer.send(
+                    wire.ClaimAsk(channel, proposal.record, proposal.replaces)
+                )
+                reply = await inbox.receive()
         except TimeoutError:
             return None
         finally:
             writer.close_inbox(channel)
-        if isinstance(told, LinkLost) or told.record is None:
+        if isinstance(reply, LinkLost) or reply.record is None:
             return None
-        granted = told.record.nonce == wish.record.nonce
-        return ClaimResult(granted, told.record)
+        granted = reply.record.nonce == proposal.record.nonce
+        return ClaimResult(granted, reply.record)
 
     def _find_writer(self, digest: str) -> LinkClient | None:
         names = self._entry_names()
@@ -135,7 +140,7 @@
 
 
 def choose_writer(shard: int, names: list[str]) -> str:
-    """Return the entry that writes a shard, by rendezvous hashing."""
+    """Choose the entry that writes a shard, by rendezvous hashing."""
     return max(
         names,
         key=lambda name: xxhash.xxh64_intdigest(f'{shard}/{name}'.encode()),
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Pages of claims: merging, and keepers that race for them."""
+"""Pages of claims: merging, and concurrent writes by several entries."""
 
 import asyncio
 import unittest
@@ -9,7 +9,7 @@
 from primrosewood.claims import (
     ClaimKeeper,
     Wish,
-    merge_wishes,
+    apply_proposals,
     parse_page,
     serialise_page,
 )
@@ -27,14 +27,14 @@
 
 
 class PageTest(unittest.TestCase):
-    """Pure functions on pages."""
+    """Encoding of pages and application of proposals."""
 
     def test_round_trip(self):
         page = {'aa': make_claim(), 'bb': make_claim('bb', 'n2')}
         self.assertEqual(page, parse_page(serialise_page(page)))
 
     def test_first_claim_wins(self):
-        page, results = merge_wishes(
+        page, results = apply_proposals(
             {}, [Wish(make_claim(nonce='n1')), Wish(make_claim(nonce='n2'))], 0
         )
         self.assertTrue(results['n1'].granted)
@@ -43,24 +43,26 @@
         self.assertEqual(['n1'], [record.nonce for record in page.values()])
 
     def test_only_the_named_claim_is_replaced(self):
-        """Two entries want to pass on the same refused claim."""
+        """Two entries try to replace the same refused claim."""
         page = {'aa': make_claim(nonce='n1')}
-        wishes = [
+        proposals = [
             Wish(make_claim(nonce='n2', number=2), replaces='n1'),
             Wish(make_claim(nonce='n3', number=2), replaces='n1'),
         ]
-        page, results = merge_wishes(page, wishes, 0)
+        page, results = apply_proposals(page, proposals, 0)
         self.assertTrue(results['n2'].granted)
         self.assertFalse(results['n3'].granted)
 
     def test_own_claim_is_recognised(self):
-        """The answer of a swap was lost, and the claim is wished again."""
+        """A swap succeeded but its response was lost; the claim is retried."""
         page = {'aa': make_claim(nonce='n1')}
-        _page, results = merge_wishes(page, [Wish(make_claim(nonce='n1'))], 0)
+        _page, results = apply_proposals(
+            page, [Wish(make_claim(nonce='n1'))], 0
+        )
         self.assertTrue(results['n1'].granted)
 
     def test_old_claims_are_dropped(self):
-        page, _results = merge_wishes({'aa': make_claim(at=5)}, [], 6)
+        page, _results = apply_proposals({'aa': make_claim(at=5)}, [], 6)
         self.assertEqual({}, page)
 
     @settings(derandomize=True, max_examples=200)
@@ -73,13 +75,13 @@
 
 
 class FullPageTest(unittest.IsolatedAsyncioTestCase):
-    """A page as large as the service takes."""
+    """A page of the largest size that the service accepts."""
 
     async def test_full_page_refuses_new_claims_and_keeps_the_old(self):
-        """Keyed requests came faster than their retention lets go of them.
+        """Claims are added faster than they expire, and the page fills up.
 
-        The caller must hear that the claim was not written; an older key
-        must still be recognised.
+        A new claim must fail with an error; the claim of an older key must
+        still be recognised.
         """
         store = MemoryKeyValue()
         page = {
@@ -103,7 +105,7 @@
 
 
 class KeeperTest(unittest.TestCase):
-    """Several entries claim the same keys while the service fails."""
+    """Several entries claim the same keys while the store has faults."""
 
     @settings(derandomize=True, max_examples=60, deadline=None)
     @given(
@@ -111,10 +113,12 @@
         st.lists(st.tuples(st.integers(0, 2), st.integers(0, 3)), max_size=12),
     )
     def test_one_winner_for_each_key(self, faults, claims):
-        """Entries race for keys; answers of swaps are lost or never come.
+        """Entries claim the same keys while some swaps fail.
 
-        A caller sees its request run once: however the swaps fall, at most
-        one wish for a key is granted, and all agree which.
+        A fault strikes before a swap, which then is not made, or after it,
+        when only its response is lost. At most one proposal for a key may be
+        granted, so that its request runs once, and all entries must agree
+        which.
         """
         asyncio.run(self.race(faults, claims))
 
@@ -129,7 +133,7 @@
             )
             for _ in range(3)
         ]
-        wishes = [
+        proposals = [
             (
                 keepers[keeper],
                 Wish(make_claim(f'{key:08x}', f'n{number}', at=2**40)),
@@ -137,11 +141,11 @@
             for number, (keeper, key) in enumerate(claims)
         ]
         results = await asyncio.gather(
-            *(keeper.claim(wish) for keeper, wish in wishes)
+            *(keeper.claim(proposal) for keeper, proposal in proposals)
         )
         winners = {}
-        for (_keeper, wish), result in zip(wishes, results, strict=True):
-            digest = wish.record.digest
+        for (_keeper, proposal), result in zip(proposals, results, strict=True):
+            digest = proposal.record.digest
             nonce = winners.setdefault(digest, result.record.nonce)
             self.assertEqual(nonce, result.record.nonce)
-            self.assertEqual(nonce == wish.record.nonce, result.granted)
+            self.assertEqual(nonce == proposal.record.nonce, result.granted)
