--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -1,4 +1,4 @@
-"""Resume tokens, whole and forged."""
+"""Resume tokens: valid, malformed and forged."""
 
 import unittest
 
@@ -18,12 +18,12 @@
 
 
 class ResumeTokenTest(unittest.TestCase):
-    """Only what was signed for an organisation is taken from it."""
+    """A token is accepted only from the organisation it was signed for."""
 
     def setUp(self):
         self.token = format_event_id(sign_stream(_POINT, _KEY), 42)
 
-    def kind_of(self, token, organisation='t/o', key=_KEY):
+    def parse_error_kind(self, token, organisation='t/o', key=_KEY):
         try:
             parse_event_id(token, key, organisation)
         except RequestFailedError as error:
@@ -36,31 +36,34 @@
 
     def test_other_organisation_and_other_key(self):
         self.assertEqual(
-            ErrorKind.forbidden, self.kind_of(self.token, 't/other')
+            ErrorKind.forbidden, self.parse_error_kind(self.token, 't/other')
         )
         self.assertEqual(
             ErrorKind.invalid_request,
-            self.kind_of(self.token, key='another-signing-key'),
+            self.parse_error_kind(self.token, key='another-signing-key'),
         )
 
     @settings(derandomize=True, max_examples=1000)
     @given(st.text(max_size=60))
     def test_any_text(self, text):
-        self.assertEqual(ErrorKind.invalid_request, self.kind_of(text))
+        self.assertEqual(ErrorKind.invalid_request, self.parse_error_kind(text))
 
-    def test_any_changed_letter(self):
+    def test_any_changed_character(self):
         signed = self.token.rpartition('.')[0]
-        for place, letter in enumerate(signed):
-            other = 'A' if letter != 'A' else 'B'
-            changed = f'{signed[:place]}{other}{signed[place + 1 :]}.42'
-            kind = self.kind_of(changed)
-            # The last letter may hold bits that no byte uses.
-            if place < len(signed) - 1:
+        for position, character in enumerate(signed):
+            replacement = 'A' if character != 'A' else 'B'
+            changed = (
+                f'{signed[:position]}{replacement}{signed[position + 1 :]}.42'
+            )
+            kind = self.parse_error_kind(changed)
+            # The last base64 character may have bits that are not decoded.
+            if position < len(signed) - 1:
                 self.assertEqual(ErrorKind.invalid_request, kind)
 
     def test_hostile_offsets(self):
         signed = self.token.rpartition('.')[0]
         for offset in ('', '-1', '1e3', '9' * 50, '\u0663', ' 1'):
             self.assertEqual(
-                ErrorKind.invalid_request, self.kind_of(f'{signed}.{offset}')
+                ErrorKind.invalid_request,
+                self.parse_error_kind(f'{signed}.{offset}'),
             )
