--- a/primrosewood/answers.py
+++ b/primrosewood/answers.py
@@ -1,4 +1,4 @@
-"""Bodies of OpenAI-style answers, whole and as stream chunks."""
+"""Bodies of OpenAI-compatible responses, complete and as stream chunks."""
 
 from typing import Any, Protocol
 
@@ -12,12 +12,18 @@
 
 
 class AnswerFormat(Protocol):
-    """One shape of answers."""
+    """Encodes the answer to one request as JSON.
+
+    Attributes
+    ----------
+    name
+        Identifier of the request.
+    """
 
     name: str
 
     def chunk(self, text: str) -> bytes:
-        """Return a chunk with text."""
+        """Return a chunk with new text."""
 
     def last_chunk(self, ended: Ended) -> bytes:
         """Return the chunk with the finish reason."""
@@ -25,33 +31,33 @@
     def usage_chunk(self, ended: Ended) -> bytes:
         """Return the chunk with the token counts."""
 
-    def whole(self, text: str, ended: Ended) -> bytes:
-        """Return the whole answer."""
+    def full_response(self, text: str, ended: Ended) -> bytes:
+        """Return the complete response."""
 
 
-class _Format:
-    """What both shapes share.
+class _BaseFormat:
+    """Common part of both formats.
 
-    The bytes around a chunk's text are the same for a whole stream and are
-    made once.
+    The bytes around a chunk's text are the same for a whole stream, so they
+    are encoded once.
     """
 
     _prefix = ''
-    _kind = ''
-    _chunk_kind = ''
+    _object_type = ''
+    _chunk_object_type = ''
 
     def __init__(self, name: str, model: str, created: float) -> None:
         self.name = name
-        self._head = {
+        self._common_fields = {
             'id': f'{self._prefix}{name}',
             'created': int(created),
             'model': model,
         }
-        self._before, self._after = self._split_chunk()
+        self._chunk_start, self._chunk_end = self._split_chunk()
 
     def chunk(self, text: str) -> bytes:
-        """Return a chunk with text."""
-        return self._before + _ENCODER.encode(text) + self._after
+        """Return a chunk with new text."""
+        return self._chunk_start + _ENCODER.encode(text) + self._chunk_end
 
     def last_chunk(self, ended: Ended) -> bytes:
         """Return the chunk with the finish reason."""
@@ -59,43 +65,53 @@
 
     def usage_chunk(self, ended: Ended) -> bytes:
         """Return the chunk with the token counts."""
-        body = {**self._head, 'object': self._chunk_kind, 'choices': []}
+        body = {
+            **self._common_fields,
+            'object': self._chunk_object_type,
+            'choices': [],
+        }
         return _ENCODER.encode({**body, 'usage': _usage(ended)})
 
-    def whole(self, text: str, ended: Ended) -> bytes:
-        """Return the whole answer."""
+    def full_response(self, text: str, ended: Ended) -> bytes:
+        """Return the complete response."""
         body = {
-            **self._head,
-            'object': self._kind,
-            'choices': [self._whole_choice(text, ended.finish_reason)],
+            **self._common_fields,
+            'object': self._object_type,
+            'choices': [self._full_choice(text, ended.finish_reason)],
             'usage': _usage(ended),
         }
         return _ENCODER.encode(body)
 
     def _split_chunk(self) -> tuple[bytes, bytes]:
-        mark = '\x00'
-        encoded = self._encode_chunk([self._choice(mark, None)])
-        before, _mark, after = encoded.partition(_ENCODER.encode(mark))
-        return before, after
+        placeholder = '\x00'
+        encoded = self._encode_chunk([self._choice(placeholder, None)])
+        start, _placeholder, end = encoded.partition(
+            _ENCODER.encode(placeholder)
+        )
+        return start, end
 
     def _encode_chunk(self, choices: list[Any]) -> bytes:
         return _ENCODER.encode(
-            {**self._head, 'object': self._chunk_kind, 'choices': choices}
+            {
+                **self._common_fields,
+                'object': self._chunk_object_type,
+                'choices': choices,
+            }
         )
 
     def _choice(self, text: str, reason: str | None) -> Any:
         raise NotImplementedError
 
-    def _whole_choice(self, text: str, reason: str) -> Any:
+    def _full_choice(self, text: str, reason: str) -> Any:
         raise NotImplementedError
 
 
-class CompletionFormat(_Format):
-    """Answers of ``/v1/completions``."""
+class CompletionFormat(_BaseFormat):
+    """Responses of ``/v1/completions``."""
 
     _prefix = 'cmpl-'
-    _kind = 'text_completion'
-    _chunk_kind = 'text_completion'
+    _object_type = 'text_completion'
+    _chunk_object_type = 'text_completion'
 
     def _choice(self, text: str, reason: str | None) -> Any:
         return {
@@ -105,22 +121,22 @@
             'finish_reason': reason,
         }
 
-    def _whole_choice(self, text: str, reason: str) -> Any:
+    def _full_choice(self, text: str, reason: str) -> Any:
         return self._choice(text, reason)
 
 
-class ChatFormat(_Format):
-    """Answers of ``/v1/chat/completions``."""
+class ChatFormat(_BaseFormat):
+    """Responses of ``/v1/chat/completions``."""
 
     _prefix = 'chatcmpl-'
-    _kind = 'chat.completion'
-    _chunk_kind = 'chat.completion.chunk'
+    _object_type = 'chat.completion'
+    _chunk_object_type = 'chat.completion.chunk'
 
     def _choice(self, text: str, reason: str | None) -> Any:
         delta = {'role': 'assistant', 'content': text}
         return {'index': 0, 'delta': delta, 'finish_reason': reason}
 
-    def _whole_choice(self, text: str, reason: str) -> Any:
+    def _full_choice(self, text: str, reason: str) -> Any:
         message = {'role': 'assistant', 'content': text}
         return {'index': 0, 'message': message, 'finish_reason': reason}
 
@@ -128,6 +144,6 @@
 def _usage(ended: Ended) -> dict[str, int]:
     return {
         'prompt_tokens': ended.prompt_tokens,
-        'completion_tokens': ended.total,
-        'total_tokens': ended.prompt_tokens + ended.total,
+        'completion_tokens': ended.completion_tokens,
+        'total_tokens': ended.prompt_tokens + ended.completion_tokens,
     }
--- a/primrosewood/attempt.py
+++ b/primrosewood/attempt.py
@@ -1,4 +1,4 @@
-"""One offer of a request to one endpoint, as its entry follows it."""
+"""One attempt to run a request at one endpoint, seen from the entry."""
 
 from . import gen_wire as wire
 from .codec import Message
@@ -17,23 +17,30 @@
 
 __all__ = ('Attempt',)
 
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 _UNLINKED_RETRY_MS = 1000
 
 
 class Attempt:
-    """An attempt with its inbox.
+    """Offers a request to an endpoint and receives the answers.
 
     Attributes
     ----------
     name
-        Identifier under which the endpoint may run it, at most once.
+        Identifier under which the endpoint runs the request at most once.
     channel
-        Identifier under which its answers come. The first is the name; each
-        try to find it again opens a new one, so that what still comes on an
-        old one is known to be late.
+        Identifier to which the endpoint addresses its messages. It starts as
+        the name; each fetch or resume opens a new channel, so that delayed
+        messages for an old one are ignored.
+    claim
+        The last known claim of the request's idempotency key, None when no
+        claim is known.
+    incarnation
+        Incarnation of the endpoint process that is offered the attempt.
     generation
-        The engine's generation, empty until admitted and for plain calls.
+        The engine's generation, empty until admission and for plain services.
+    cursor
+        Position in the generation's tokens.
     """
 
     def __init__(
@@ -42,7 +49,7 @@
         client: LinkClient,
         claim: wire.ClaimRecord | None = None,
     ) -> None:
-        """Prepare an attempt on a connection."""
+        """Prepare an attempt over a connection; nothing is sent yet."""
         self.request = request
         self.client = client
         self.claim = claim
@@ -52,7 +59,7 @@
         self.generation = ''
         self.cursor = StreamCursor()
         self._inbox = Inbox()
-        self._late = False
+        self._deadline_passed = False
 
     @property
     def endpoint(self) -> str:
@@ -63,7 +70,7 @@
         """Offer the request to the endpoint."""
         self.client.open_inbox(self.channel, self._inbox)
         if not self.client.send(self._make_offer(seconds_left)):
-            # No connection, so nothing was sent: a definite refusal.
+            # Nothing was sent without a connection, so it cannot have run.
             kind = ErrorKind.no_endpoint.value
             load = self.client.view.load
             self._inbox.push(
@@ -71,7 +78,7 @@
             )
 
     def fetch(self) -> None:
-        """Ask the endpoint what became of the attempt."""
+        """Ask the endpoint for the state and the answer of the attempt."""
         self.client.send(
             wire.Fetch(
                 attempt=self._open_channel(),
@@ -93,21 +100,28 @@
         )
 
     def cancel(self, at_once: bool = True) -> None:
-        """Tell the endpoint that nobody listens any more."""
+        """Inform the endpoint that the answer is no longer read.
+
+        Parameters
+        ----------
+        at_once
+            Whether the endpoint stops the work now; otherwise the caller may
+            still resume the stream through another entry.
+        """
         self.client.send(wire.Cancel(self.channel, at_once))
         self.close()
 
     def close(self) -> None:
-        """Drop what still comes."""
+        """Ignore all further messages of the attempt."""
         self.client.close_inbox(self.channel)
 
-    def pass_deadline(self) -> None:
-        """Wake whoever waits for an answer, now or later."""
-        self._late = True
+    def signal_deadline(self) -> None:
+        """Make the current and all later calls of `receive` fail."""
+        self._deadline_passed = True
         self._inbox.push(DeadlinePassed())
 
     async def receive(self) -> Message:
-        """Return the next message.
+        """Return the next message of the endpoint.
 
         Raises
         ------
@@ -118,9 +132,9 @@
         AttemptFailedError
             The attempt ended without an answer.
         RequestFailedError
-            ``deadline_exceeded``.
+            ``deadline_exceeded`` once the deadline has passed.
         """
-        if self._late:
+        if self._deadline_passed:
             raise RequestFailedError(ErrorKind.deadline_exceeded)
         received = await self._inbox.receive()
         if isinstance(received, (LinkLost, DeadlinePassed)):
@@ -130,7 +144,7 @@
         return received
 
     async def await_admission(self) -> None:
-        """Wait until the endpoint runs the attempt; errors as `receive`."""
+        """Wait until the endpoint admits the attempt; raises as `receive`."""
         while True:
             received = await self.receive()
             if isinstance(received, wire.Admitted):
@@ -140,14 +154,14 @@
                 raise DoubtError('unexpected answer to an offer')
 
     def accept(self, tokens: wire.Tokens) -> list[str]:
-        """Return the tokens that were not received before."""
+        """Advance the cursor and return the tokens not received before."""
         try:
             return self.cursor.accept(tokens.offset, tokens.pieces)
         except WireError as error:
             raise RequestFailedError(ErrorKind.internal) from error
 
     def give_credit(self) -> None:
-        """Tell the endpoint that all received tokens were handed on."""
+        """Grant the endpoint credit for the tokens forwarded to the caller."""
         self.client.send(wire.Credit(self.channel, self.cursor.offset))
 
     def _open_channel(self) -> str:
@@ -165,7 +179,7 @@
             team=request.organisation.team,
             service=request.service,
             organisation=request.organisation.name,
-            deadline_ms=max(0, int(seconds_left * _MILLISECONDS)),
+            deadline_ms=max(0, int(seconds_left * _MS_PER_SECOND)),
             body=request.body,
             key_digest=request.key_digest,
             streamed=request.streamed,
@@ -187,5 +201,5 @@
     kind = ErrorKind(received.kind)
     if isinstance(received, wire.Failed):
         return AttemptFailedError(kind)
-    seconds = received.retry_ms / _MILLISECONDS
+    seconds = received.retry_ms / _MS_PER_SECOND
     return NotRunError(kind, retry_seconds=seconds)
--- a/primrosewood/callerbodies.py
+++ b/primrosewood/callerbodies.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests."""
+"""Reading and decoding of the bodies of callers' requests."""
 
 from typing import Any
 
@@ -8,54 +8,53 @@
 from .errors import ErrorKind, RequestFailedError
 from .gen_caller import ChatMessage
 
-__all__ = ('decode_body', 'pass_on', 'read_body', 'render_chat')
+__all__ = ('decode_body', 'extract_engine_fields', 'read_body', 'render_chat')
 
-_NOT_PASSED_ON = frozenset(
+_ENTRY_FIELDS = frozenset(
     ('model', 'prompt', 'messages', 'stream', 'stream_options', 'max_tokens')
 )
 
 
 async def read_body(request: web.Request) -> bytes:
-    """Return a whole body, as it came."""
+    """Return the whole body as received."""
     try:
         return await request.read()
     except ValueError as error:
         raise RequestFailedError(ErrorKind.invalid_request) from error
 
 
-def decode_body(body: bytes, kind: type) -> Any:
-    """Return a JSON body as a checked type."""
-    # Some texts decode as JSON but cannot be written again: a lone half of a
-    # surrogate pair, for one, which UTF-8 has no bytes for.
+def decode_body(body: bytes, body_type: type) -> Any:
+    """Decode a JSON body and validate it against a type."""
+    # UnicodeError: JSON can escape a lone surrogate, which UTF-8 cannot encode.
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=body_type)
     except (msgspec.DecodeError, UnicodeError, RecursionError) as error:
         raise RequestFailedError(
             ErrorKind.invalid_request, str(error)
         ) from error
 
 
-def pass_on(body: bytes) -> bytes:
-    """Return the fields of a body that only the engine reads, as JSON."""
-    # Fields that are not read are not checked above; here they are.
+def extract_engine_fields(body: bytes) -> bytes:
+    """Return the fields that are forwarded to the engine unread, as JSON."""
+    # The typed decoding skips unknown fields; this one validates them.
     fields = decode_body(body, dict)
     return msgspec.json.encode(
         {
             name: fields[name]
             for name in sorted(fields)
-            if name not in _NOT_PASSED_ON
+            if name not in _ENTRY_FIELDS
         }
     )
 
 
 def render_chat(messages: list[ChatMessage]) -> str:
-    """Return the prompt that stands for a chat."""
+    """Return the messages of a chat as one prompt."""
     return '\n'.join(
-        f'{message.role}: {_text_of(message)}' for message in messages
+        f'{message.role}: {_message_text(message)}' for message in messages
     )
 
 
-def _text_of(message: ChatMessage) -> str:
+def _message_text(message: ChatMessage) -> str:
     if isinstance(message.content, str):
         return message.content
     return ''.join(part.text for part in message.content)
--- a/primrosewood/callers.py
+++ b/primrosewood/callers.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: OpenAI-style completions, plain services, health."""
+"""HTTP interface for callers: OpenAI-compatible and plain services."""
 
 import asyncio
 import time
@@ -10,7 +10,12 @@
 from aiohttp import web
 
 from .answers import AnswerFormat, ChatFormat, CompletionFormat
-from .callerbodies import decode_body, pass_on, read_body, render_chat
+from .callerbodies import (
+    decode_body,
+    extract_engine_fields,
+    read_body,
+    render_chat,
+)
 from .clock import Clock
 from .dispatch import Dispatcher
 from .errors import ErrorKind, Ran, RequestFailedError
@@ -21,7 +26,7 @@
 from .logs import log_event
 from .metrics import Metrics
 from .process import log_failure
-from .requests import Ended, Pieces, Request, Restarted, WholeReply
+from .requests import Ended, PlainResponse, Request, Restarted, TokenChunk
 from .resume import parse_event_id
 from .settings import Organisation, SettingsStore
 
@@ -29,19 +34,19 @@
 
 _BEARER = 'Bearer '
 _DEFAULT_MAX_TOKENS = 4096
-_LONGEST_KEY = 200
-_LONGEST_TIMEOUT = 86_400
+_MAX_KEY_LENGTH = 200
+_MAX_TIMEOUT_SECONDS = 86_400
 
 
 class CallerApi:
-    """Handlers of the callers' port.
+    """HTTP handlers of the port that callers use.
 
     Attributes
     ----------
     ready
-        Whether the balancer may send callers here.
+        Whether the load balancer may send requests here.
     leaving
-        Whether connections end with their answers, as the entry leaves.
+        Whether the entry drains: each connection closes after its response.
     refusing
         Whether new requests are refused.
     """
@@ -55,7 +60,7 @@
         signing_key: str,
         metrics: Metrics,
     ) -> None:
-        """Take what requests need."""
+        """Start not ready, with no active requests."""
         self._dispatcher = dispatcher
         self._store = store
         self._clock = clock
@@ -64,55 +69,58 @@
         self._metrics = metrics
         self._active = 0
         self._unanswered: set[asyncio.Task] = set()
-        self._ending = False
+        self._failing_unanswered = False
         self.ready = False
         self.leaving = False
         self.refusing = False
 
     @property
     def active(self) -> int:
-        """Requests that are being answered."""
+        """Number of requests in flight."""
         return self._active
 
     def make_app(self) -> web.Application:
-        """Return the application of the callers' port."""
+        """Return the web application with all routes."""
         app = web.Application(
             client_max_size=self._limits.body_bytes,
-            middlewares=[self._guard],
+            middlewares=[self._track_request],
         )
         app.router.add_post('/v1/chat/completions', self._chat)
         app.router.add_post('/v1/completions', self._complete)
         app.router.add_get('/v1/models', self._list_models)
-        app.router.add_route('*', '/services/{name}/{path:.*}', self._call)
+        app.router.add_route(
+            '*', '/services/{name}/{path:.*}', self._call_service
+        )
         app.router.add_get('/healthz', self._show_health)
         app.router.add_get('/readyz', self._show_ready)
         app.router.add_get('/metrics', self._show_metrics)
-        app.on_response_prepare.append(self._note_answer)
+        app.on_response_prepare.append(self._on_response_prepare)
         return app
 
     def end_unanswered(self) -> None:
-        """Answer now what has no part of an answer, as the entry ends.
+        """Answer all requests without a response with an error.
 
-        A connection that just closed would tell its caller neither that the
-        request may have run nor whether to come back.  A stream that has begun
-        is cut instead: its caller reads on at another entry.
+        Used when the entry stops. A connection that just closes would not
+        show the caller whether the request may have run and may be retried.
+        A stream that has started is cut instead: its caller resumes it
+        through another entry.
         """
-        self._ending = True
+        self._failing_unanswered = True
         for task in self._unanswered:
             task.cancel()
 
-    async def _note_answer(
+    async def _on_response_prepare(
         self, _request: web.Request, response: web.StreamResponse
     ) -> None:
         self._unanswered.discard(asyncio.current_task())
         if self.leaving:
-            # The balancer leaves open connections where they are: on this one
-            # the caller would come back to an entry that refuses.
+            # The load balancer does not move open connections, so the next
+            # request on this one would reach an entry that refuses it.
             response.force_close()
             response.headers['Connection'] = 'close'
 
     @web.middleware
-    async def _guard(self, request: web.Request, handler) -> Any:
+    async def _track_request(self, request: web.Request, handler) -> Any:
         started = self._clock.monotonic()
         task = asyncio.current_task()
         self._active += 1
@@ -120,10 +128,10 @@
         try:
             return await self._answer_or_refuse(request, handler)
         except asyncio.CancelledError:
-            if not self._ending or task not in self._unanswered:
+            if not self._failing_unanswered or task not in self._unanswered:
                 raise
             task.uncancel()
-            return self._refuse(_end_unanswered(request))
+            return self._to_error_response(_unanswered_error(request))
         finally:
             self._active -= 1
             self._unanswered.discard(task)
@@ -133,59 +141,68 @@
         try:
             return await handler(request)
         except RequestFailedError as error:
-            return self._refuse(error)
+            return self._to_error_response(error)
         except web.HTTPException as error:
             return error_response(translate_error(error))
         except Exception as error:
             log_failure(request.path, error)
             return error_response(RequestFailedError(ErrorKind.internal))
 
-    def _refuse(self, error: RequestFailedError) -> web.Response:
+    def _to_error_response(self, error: RequestFailedError) -> web.Response:
         self._metrics.count('errors', error.kind.value)
         return error_response(error)
 
     async def _chat(self, request: web.Request) -> web.StreamResponse:
         organisation = self._identify(request)
         body = await read_body(request)
-        asked = decode_body(body, ChatRequest)
-        prompt = render_chat(asked.messages)
-        longest = asked.max_completion_tokens or asked.max_tokens
-        wanted = _Wanted(
-            asked.model, prompt, longest or _DEFAULT_MAX_TOKENS, asked.stream
+        parsed = decode_body(body, ChatRequest)
+        prompt = render_chat(parsed.messages)
+        max_tokens = parsed.max_completion_tokens or parsed.max_tokens
+        parameters = _GenerationParameters(
+            parsed.model,
+            prompt,
+            max_tokens or _DEFAULT_MAX_TOKENS,
+            parsed.stream,
+        )
+        generation = self._make_generation_request(
+            request, organisation, parameters, body
         )
-        generation = self._to_request(request, organisation, wanted, body)
-        answer = ChatFormat(generation.name, asked.model, time.time())
-        return await self._generate(request, generation, answer, asked)
+        answer_format = ChatFormat(generation.name, parsed.model, time.time())
+        return await self._generate(request, generation, answer_format, parsed)
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         organisation = self._identify(request)
         body = await read_body(request)
-        asked = decode_body(body, CompletionRequest)
-        wanted = _Wanted(
-            asked.model, asked.prompt, asked.max_tokens, asked.stream
+        parsed = decode_body(body, CompletionRequest)
+        parameters = _GenerationParameters(
+            parsed.model, parsed.prompt, parsed.max_tokens, parsed.stream
+        )
+        generation = self._make_generation_request(
+            request, organisation, parameters, body
+        )
+        answer_format = CompletionFormat(
+            generation.name, parsed.model, time.time()
         )
-        generation = self._to_request(request, organisation, wanted, body)
-        answer = CompletionFormat(generation.name, asked.model, time.time())
-        return await self._generate(request, generation, answer, asked)
+        return await self._generate(request, generation, answer_format, parsed)
 
-    def _to_request(
+    def _make_generation_request(
         self,
         request: web.Request,
         organisation: Organisation,
-        wanted: '_Wanted',
+        parameters: '_GenerationParameters',
         body: bytes,
     ) -> Request:
-        service = self._store.find_model(organisation.team, wanted.model)
+        service = self._store.find_model(organisation.team, parameters.model)
         if service is None:
             raise RequestFailedError(ErrorKind.not_found, 'no such model')
         return Request(
             organisation=organisation,
             service=service,
             deadline=self._deadline(request, organisation.team, service),
-            streamed=wanted.stream,
-            prompt=wanted.prompt,
-            max_tokens=wanted.max_tokens,
-            body=pass_on(body),
+            streamed=parameters.stream,
+            prompt=parameters.prompt,
+            max_tokens=parameters.max_tokens,
+            body=extract_engine_fields(body),
             key=_idempotency_key(request),
         )
 
@@ -193,17 +210,19 @@
         self,
         request: web.Request,
         generation: Request,
-        answer: AnswerFormat,
-        asked: Any,
+        answer_format: AnswerFormat,
+        parsed: Any,
     ) -> web.StreamResponse:
         if not generation.streamed:
-            return await self._answer_whole(generation, answer)
-        usage = bool(
-            asked.stream_options and asked.stream_options.include_usage
+            return await self._answer_whole(generation, answer_format)
+        include_usage = bool(
+            parsed.stream_options and parsed.stream_options.include_usage
         )
         event_id = request.headers.get('Last-Event-ID', '')
         events = self._open_events(generation, event_id)
-        return await self._answer_stream(request, events, answer, usage)
+        return await self._answer_stream(
+            request, events, answer_format, include_usage
+        )
 
     def _open_events(self, generation: Request, event_id: str):
         if not event_id:
@@ -214,39 +233,43 @@
         return self._dispatcher.resume(generation, point)
 
     async def _answer_whole(
-        self, generation: Request, answer: AnswerFormat
+        self, generation: Request, answer_format: AnswerFormat
     ) -> web.Response:
         pieces: list[str] = []
         async with aclosing(self._dispatcher.answer(generation)) as events:
             async for event in events:
                 if isinstance(event, Restarted):
                     pieces.clear()
-                elif isinstance(event, Pieces):
+                elif isinstance(event, TokenChunk):
                     pieces.extend(event.pieces)
                 elif isinstance(event, Ended):
                     ended = event
-        body = answer.whole(''.join(pieces), ended)
+        body = answer_format.full_response(''.join(pieces), ended)
         return web.Response(body=body, content_type='application/json')
 
     async def _answer_stream(
-        self, request: web.Request, events, answer: AnswerFormat, usage: bool
+        self,
+        request: web.Request,
+        events,
+        answer_format: AnswerFormat,
+        include_usage: bool,
     ) -> web.StreamResponse:
-        writer = EventWriter(request, answer, usage)
+        writer = EventWriter(request, answer_format, include_usage)
         async with aclosing(events):
             try:
                 async for event in events:
                     await writer.write_event(event)
             except RequestFailedError as error:
-                if not writer.begun:
+                if not writer.started:
                     raise
                 self._metrics.count('errors', error.kind.value)
                 await writer.write_error(error)
             except ConnectionError:
-                # The caller went away; it may resume by any entry.
-                log_event('caller_left', request=answer.name)
+                # The caller disconnected; it may resume through any entry.
+                log_event('caller_left', request=answer_format.name)
         return await writer.end()
 
-    async def _call(self, request: web.Request) -> web.Response:
+    async def _call_service(self, request: web.Request) -> web.Response:
         organisation = self._identify(request)
         name = request.match_info['name']
         service = self._store.find_service(organisation.team, name)
@@ -265,15 +288,17 @@
         )
         async with aclosing(self._dispatcher.answer(call)) as events:
             async for event in events:
-                if isinstance(event, WholeReply):
+                if isinstance(event, PlainResponse):
                     return _to_response(event)
         raise RequestFailedError(ErrorKind.outcome_unknown)
 
     def _identify(self, request: web.Request) -> Organisation:
         if self.refusing:
-            raise _refuse_unread(request, ErrorKind.leaving)
+            raise _refusal_before_claim_read(request, ErrorKind.leaving)
         if not self._store.ready:
-            raise _refuse_unread(request, ErrorKind.settings_missing)
+            raise _refusal_before_claim_read(
+                request, ErrorKind.settings_missing
+            )
         header = request.headers.get('Authorization', '')
         if not header.startswith(_BEARER):
             raise RequestFailedError(ErrorKind.unauthenticated)
@@ -316,8 +341,8 @@
         return web.Response(body=self._metrics.expose())
 
 
-class _Wanted(msgspec.Struct):
-    """What both kinds of completion ask for."""
+class _GenerationParameters(msgspec.Struct):
+    """Parameters that chat and text completions have in common."""
 
     model: str
     prompt: str
@@ -325,26 +350,28 @@
     stream: bool
 
 
-def _refuse_unread(request: web.Request, kind: ErrorKind) -> RequestFailedError:
-    """Return a refusal that is given before any claim was read."""
+def _refusal_before_claim_read(
+    request: web.Request, kind: ErrorKind
+) -> RequestFailedError:
+    """Return a refusal that is made before the claim is read."""
     error = RequestFailedError(kind, retry_seconds=1)
     if _idempotency_key(request):
-        # An earlier attempt under the key may have run by another entry.
+        # An earlier attempt under the key may have run via another entry.
         error.ran = Ran.unknown
     return error
 
 
-def _end_unanswered(request: web.Request) -> RequestFailedError:
-    """Return the end of a request that an entry leaves without its answer."""
+def _unanswered_error(request: web.Request) -> RequestFailedError:
+    """Return the error for a request that has no response at the stop."""
     if _idempotency_key(request):
-        # Another entry gives the answer of the run that the key claimed.
-        return _refuse_unread(request, ErrorKind.leaving)
+        # A retry with the key gets the answer of this run from another entry.
+        return _refusal_before_claim_read(request, ErrorKind.leaving)
     return RequestFailedError(ErrorKind.outcome_unknown)
 
 
 def _idempotency_key(request: web.Request) -> str:
     key = request.headers.get('Idempotency-Key', '')
-    if len(key) > _LONGEST_KEY:
+    if len(key) > _MAX_KEY_LENGTH:
         raise RequestFailedError(
             ErrorKind.invalid_request, 'Idempotency-Key is too long'
         )
@@ -356,7 +383,7 @@
         seconds = float(header)
     except ValueError:
         seconds = 0
-    if not 0 < seconds <= _LONGEST_TIMEOUT:
+    if not 0 < seconds <= _MAX_TIMEOUT_SECONDS:
         raise RequestFailedError(
             ErrorKind.invalid_request, 'X-Request-Timeout is not in seconds'
         )
@@ -368,6 +395,6 @@
     return request.raw_path.removeprefix(prefix)
 
 
-def _to_response(reply: WholeReply) -> web.Response:
+def _to_response(reply: PlainResponse) -> web.Response:
     headers = {'Content-Type': reply.content_type} if reply.content_type else {}
     return web.Response(status=reply.status, body=reply.body, headers=headers)
--- a/primrosewood/eventwriter.py
+++ b/primrosewood/eventwriter.py
@@ -1,4 +1,4 @@
-"""Writing a generation to its caller as server-sent events."""
+"""Streams a generation to the caller as server-sent events (SSE)."""
 
 from aiohttp import web
 
@@ -6,73 +6,76 @@
 from .errors import ErrorKind, RequestFailedError
 from .httperrors import error_body
 from .logs import log_event
-from .requests import Ended, Pieces, Started
+from .requests import Ended, Started, TokenChunk
 from .resume import format_event_id
 
 __all__ = ('EventWriter',)
 
 
 class EventWriter:
-    """Writes the events of one answer as server-sent events."""
+    """Writes one streamed response; its headers go out at the first event."""
 
     def __init__(
-        self, request: web.Request, answer: AnswerFormat, usage: bool
+        self,
+        request: web.Request,
+        answer_format: AnswerFormat,
+        include_usage: bool,
     ) -> None:
-        """Take the request that is answered.
+        """Prepare the response; nothing is sent yet.
 
         Parameters
         ----------
         request
             The caller's request.
-        answer
-            Shape of the events.
-        usage
-            Whether the caller wants the number of tokens.
+        answer_format
+            Encodes the chunks of the response.
+        include_usage
+            Whether to send a chunk with token counts at the end.
         """
         self._request = request
-        self._answer = answer
-        self._usage = usage
+        self._answer_format = answer_format
+        self._include_usage = include_usage
         self._response: web.StreamResponse | None = None
-        self._signed = ''
+        self._event_id_prefix = ''
 
     @property
-    def begun(self) -> bool:
-        """Whether the head of the answer was written."""
+    def started(self) -> bool:
+        """Whether the headers of the response were sent."""
         return self._response is not None
 
     async def write_event(self, event) -> None:
         """Write one event of a generation."""
         match event:
-            case Pieces():
-                data = self._answer.chunk(''.join(event.pieces))
-                event_id = format_event_id(self._signed, event.offset)
+            case TokenChunk():
+                data = self._answer_format.chunk(''.join(event.pieces))
+                event_id = format_event_id(self._event_id_prefix, event.offset)
                 await self._write(
                     b'id: %b\ndata: %b\n\n' % (event_id.encode(), data)
                 )
             case Started():
-                self._signed = event.signed
+                self._event_id_prefix = event.event_id_prefix
                 await self._begin()
             case Ended():
                 await self._write_end(event)
 
     async def write_error(self, error: RequestFailedError) -> None:
-        """Write the end of a stream that failed."""
+        """Write the error that ends the stream."""
         await self._write(b'data: %b\n\n' % error_body(error))
 
     async def end(self) -> web.StreamResponse:
-        """Return the whole answer.
+        """Finish and return the response.
 
         Raises
         ------
         RequestFailedError
-            It never began.
+            ``cancelled`` when the response was not started.
         """
         if self._response is None:
             raise RequestFailedError(ErrorKind.cancelled)
         try:
             await self._response.write_eof()
         except ConnectionError:
-            log_event('caller_left', request=self._answer.name)
+            log_event('caller_left', request=self._answer_format.name)
         return self._response
 
     async def _begin(self) -> None:
@@ -81,16 +84,16 @@
         response = web.StreamResponse()
         response.content_type = 'text/event-stream'
         response.headers['Cache-Control'] = 'no-store'
-        response.headers['X-Request-Id'] = self._answer.name
+        response.headers['X-Request-Id'] = self._answer_format.name
         await response.prepare(self._request)
         self._response = response
 
     async def _write_end(self, event: Ended) -> None:
-        last = [self._answer.last_chunk(event)]
-        if self._usage:
-            last.append(self._answer.usage_chunk(event))
-        last.append(b'[DONE]')
-        await self._write(b''.join(b'data: %b\n\n' % data for data in last))
+        chunks = [self._answer_format.last_chunk(event)]
+        if self._include_usage:
+            chunks.append(self._answer_format.usage_chunk(event))
+        chunks.append(b'[DONE]')
+        await self._write(b''.join(b'data: %b\n\n' % data for data in chunks))
 
     async def _write(self, data: bytes) -> None:
         await self._response.write(data)
--- a/primrosewood/placement.py
+++ b/primrosewood/placement.py
@@ -1,4 +1,4 @@
-"""Placing a request: choose an endpoint, claim its key, offer."""
+"""Placement of a request: choose an endpoint, claim the key, offer."""
 
 from collections.abc import Awaitable
 from typing import TypeVar
@@ -28,21 +28,21 @@
 
 __all__ = ('Placement',)
 
-_Read = TypeVar('_Read')
+_Result = TypeVar('_Result')
 
-_MOST_ATTEMPTS = 4
+_MAX_ATTEMPTS = 4
 _NO_ENDPOINT_RETRY_SECONDS = 1.0
 _STORE_RETRY_SECONDS = 2.0
 
 
 class Placement:
-    """Brings one request to an endpoint that takes it."""
+    """Finds an endpoint that admits one request."""
 
     def __init__(
-        self, tools: Tools, progress: Progress, recovery: Recovery
+        self, context: Tools, progress: Progress, recovery: Recovery
     ) -> None:
-        """Take the request's progress."""
-        self._tools = tools
+        """Bind to the state of one request."""
+        self._context = context
         self._progress = progress
         self._request = progress.request
         self._recovery = recovery
@@ -53,119 +53,123 @@
         Raises
         ------
         RequestFailedError
-            No endpoint takes the request, its key cannot be claimed, or its
-            outcome is in doubt and it may not be repeated.
+            No endpoint admits the request, its idempotency key cannot be
+            claimed, or its outcome is in doubt and it may not be repeated.
         """
         while True:
-            if self._request.key and not self._has_choice():
-                joined = await self._join_claimed()
-                if joined is not None:
-                    return joined
+            if self._request.key and not self._has_candidate():
+                claimed = await self._recover_claimed()
+                if claimed is not None:
+                    return claimed
             attempt = self._next_attempt()
-            if await self._try(attempt):
+            if await self._try_attempt(attempt):
                 return attempt
 
-    def note_refusal(self, attempt: Attempt, error: NotRunError) -> None:
-        """Remember a definite refusal; raise it when no retry is left."""
+    def record_refusal(self, attempt: Attempt, error: NotRunError) -> None:
+        """Record that an attempt did not run; raise when no retry is left."""
         attempt.close()
         progress = self._progress
         if error.kind is not ErrorKind.never_offered:
-            # Another entry asked for this attempt before its offer came; the
-            # endpoint itself may well take the next one.
+            # After `never_offered` the endpoint may admit the next attempt:
+            # another entry fetched this one before its offer arrived.
             progress.tried.add(attempt.endpoint)
         progress.refusal = error
         if not progress.budget.spend():
-            raise self._give_up() from error
+            raise self._final_error() from error
 
-    def reconsider(self, attempt: Attempt, error: Exception) -> None:
-        """Let another attempt follow a broken one, or raise the end."""
+    def retry_or_raise(self, attempt: Attempt, error: Exception) -> None:
+        """Prepare the next attempt after an error, or raise the final error."""
         if isinstance(error, NotRunError):
-            self.note_refusal(attempt, error)
+            self.record_refusal(attempt, error)
             return
         progress = self._progress
         if not progress.may_repeat:
-            raise _end_of(error)
+            raise _to_request_error(error)
         attempt.cancel()
         progress.in_doubt = True
         progress.tried.add(attempt.endpoint)
         if not progress.budget.spend():
-            raise _end_of(error)
+            raise _to_request_error(error)
 
-    async def _join_claimed(self) -> Attempt | None:
-        """Follow the attempt that holds the key, if there is one.
+    async def _recover_claimed(self) -> Attempt | None:
+        """Recover the attempt that holds the claim of the key, if any.
 
-        A retry whose first attempt may have run must not be told "not run"
-        because no endpoint can take new work just now; so the claim is read
-        even when there is nobody to offer to.
+        An earlier attempt under the key may have run. So the claim is read
+        even when no endpoint is usable: otherwise the refusal would wrongly
+        state that the request did not run.
         """
-        claim = await self._guarded(
-            self._tools.claims.look_up(self._request.key_digest)
+        claim = await self._await_claim_store(
+            self._context.claims.look_up(self._request.key_digest)
         )
         if claim is None or not claim.endpoint:
             return None
-        view = self._tools.fleet.views.get(claim.endpoint)
+        view = self._context.fleet.views.get(claim.endpoint)
         if view is None:
             raise RequestFailedError(ErrorKind.outcome_unknown)
-        attempt = Attempt(self._request, self._tools.links.open(view), claim)
+        attempt = Attempt(self._request, self._context.links.open(view), claim)
         self._progress.current = attempt
-        self._check_body(claim)
-        return attempt if await self._collect(attempt) else None
+        self._check_same_body(claim)
+        return attempt if await self._recover_claim_holder(attempt) else None
 
-    async def _try(self, attempt: Attempt) -> bool:
-        """Return whether the attempt is admitted; False for the next one."""
+    async def _try_attempt(self, attempt: Attempt) -> bool:
+        """Return whether the attempt is admitted; False to try another."""
         if self._request.key and not await self._claim(attempt):
-            return await self._collect(attempt)
-        attempt.offer(self._tools.seconds_left(self._request))
+            return await self._recover_claim_holder(attempt)
+        attempt.offer(self._context.seconds_left(self._request))
         try:
             await attempt.await_admission()
         except NotRunError as error:
-            self.note_refusal(attempt, error)
+            self.record_refusal(attempt, error)
             return False
         except (DoubtError, AttemptFailedError) as error:
-            return await self._resolve(attempt, error)
+            return await self._retry_or_recover(attempt, error)
         return True
 
-    async def _resolve(self, attempt: Attempt, error: Exception) -> bool:
+    async def _retry_or_recover(
+        self, attempt: Attempt, error: Exception
+    ) -> bool:
         if self._progress.may_repeat:
-            self.reconsider(attempt, error)
+            self.retry_or_raise(attempt, error)
             return False
         return await self._recovery.recover(attempt)
 
     def _next_attempt(self) -> Attempt:
         progress = self._progress
-        before = progress.current
-        view = self._choose()
+        previous = progress.current
+        view = self._choose_endpoint()
         attempt = Attempt(
             self._request,
-            self._tools.links.open(view),
-            before.claim if before else None,
+            self._context.links.open(view),
+            previous.claim if previous else None,
         )
         progress.current = attempt
         progress.attempts += 1
         return attempt
 
-    def _usable(self) -> list[EndpointView]:
-        if self._progress.attempts >= _MOST_ATTEMPTS:
+    def _usable_endpoints(self) -> list[EndpointView]:
+        if self._progress.attempts >= _MAX_ATTEMPTS:
             return []
-        return self._tools.fleet.usable(
+        return self._context.fleet.usable(
             self._request.organisation.team,
             self._request.service,
             self._progress.tried,
         )
 
-    def _has_choice(self) -> bool:
-        return self._progress.current is not None or bool(self._usable())
+    def _has_candidate(self) -> bool:
+        return self._progress.current is not None or bool(
+            self._usable_endpoints()
+        )
 
-    def _choose(self) -> EndpointView:
+    def _choose_endpoint(self) -> EndpointView:
         request = self._request
-        tools = self._tools
-        usable = self._usable()
+        context = self._context
+        usable = self._usable_endpoints()
         if not usable:
-            raise self._give_up()
+            raise self._final_error()
         work = Work(request.organisation.full_name, request.prompt)
-        choice = tools.policy.choose(usable, work)
+        choice = context.policy.choose(usable, work)
         choice.endpoint.offered += 1
-        tools.metrics.count('offers')
+        context.metrics.count('offers')
         self._log_choice(choice, len(usable))
         return choice.endpoint
 
@@ -183,23 +187,23 @@
             seen=choice.seen,
             usable=usable,
             attempt=self._progress.attempts + 1,
-            revision=self._tools.store.revision_of(organisation.team),
+            revision=self._context.store.revision_of(organisation.team),
         )
 
-    def _give_up(self) -> RequestFailedError:
+    def _final_error(self) -> RequestFailedError:
         if self._progress.in_doubt:
-            # One attempt may have run, so no refusal may say "not run".
+            # An attempt may have run, so the error must not deny it.
             return RequestFailedError(ErrorKind.outcome_unknown)
         refusal = self._progress.refusal
         if refusal is None:
-            return self._refuse_unplaced()
-        self._release()
+            return self._unplaced_error()
+        self._release_claim()
         seconds = refusal.retry_seconds or _NO_ENDPOINT_RETRY_SECONDS
-        return self._refuse(refusal.kind, seconds)
+        return self._refusal_error(refusal.kind, seconds)
 
-    def _refuse_unplaced(self) -> RequestFailedError:
+    def _unplaced_error(self) -> RequestFailedError:
         request = self._request
-        vetoes = self._tools.fleet.vetoes(
+        vetoes = self._context.fleet.vetoes(
             request.organisation.team, request.service
         )
         log_decision(
@@ -210,79 +214,87 @@
             chosen='none',
             why=','.join(sorted(vetoes)) or 'none_known',
         )
-        only_out = set(vetoes) == {Veto.domain_out}
-        kind = ErrorKind.domain_out if only_out else ErrorKind.no_endpoint
-        return self._refuse(kind, _NO_ENDPOINT_RETRY_SECONDS)
+        only_domain_out = set(vetoes) == {Veto.domain_out}
+        kind = (
+            ErrorKind.domain_out if only_domain_out else ErrorKind.no_endpoint
+        )
+        return self._refusal_error(kind, _NO_ENDPOINT_RETRY_SECONDS)
 
-    def _refuse(self, kind: ErrorKind, seconds: float) -> RequestFailedError:
-        spread = jitter(seconds, self._tools.random.random())
-        return RequestFailedError(kind, retry_seconds=spread)
+    def _refusal_error(
+        self, kind: ErrorKind, seconds: float
+    ) -> RequestFailedError:
+        jittered_seconds = jitter(seconds, self._context.random.random())
+        return RequestFailedError(kind, retry_seconds=jittered_seconds)
 
     async def _claim(self, attempt: Attempt) -> bool:
-        """Claim the key for an attempt; False when another claim stands."""
-        before = attempt.claim
+        """Claim the key for an attempt; False when another attempt holds it."""
+        previous = attempt.claim
         record = self._make_claim(attempt)
-        wish = Wish(record, before.nonce if before else '')
-        result = await self._guarded(self._tools.claims.claim(wish))
+        proposal = Wish(record, previous.nonce if previous else '')
+        result = await self._await_claim_store(
+            self._context.claims.claim(proposal)
+        )
         attempt.claim = result.record
-        self._check_body(result.record)
+        self._check_same_body(result.record)
         return result.granted
 
-    async def _guarded(self, asked: Awaitable[_Read]) -> _Read:
-        # Offering without a claim could run the request twice. And since an
-        # earlier attempt under the key may have run, the refusal must not
-        # say that the request did not.
+    async def _await_claim_store(
+        self, operation: Awaitable[_Result]
+    ) -> _Result:
+        # Without a claim an offer could run the request twice. An earlier
+        # attempt under the key may have run, so the error must not state
+        # that the request did not run.
         try:
-            return await asked
+            return await operation
         except (StoreUnavailableError, WireError) as error:
             log_event('claim_failed', 'WARNING', why=type(error).__name__)
-            raise self._refuse(
+            raise self._refusal_error(
                 ErrorKind.claim_unreadable, _STORE_RETRY_SECONDS
             ) from error
 
-    def _check_body(self, claim: wire.ClaimRecord) -> None:
+    def _check_same_body(self, claim: wire.ClaimRecord) -> None:
         if claim.body_digest != self._request.body_digest:
             raise RequestFailedError(ErrorKind.key_reused)
 
     def _make_claim(self, attempt: Attempt) -> wire.ClaimRecord:
-        before = attempt.claim
+        previous = attempt.claim
         return wire.ClaimRecord(
             digest=self._request.key_digest,
             nonce=make_identifier(),
             attempt=attempt.name,
-            number=before.number + 1 if before else 1,
+            number=previous.number + 1 if previous else 1,
             endpoint=attempt.endpoint,
             incarnation=attempt.incarnation,
             body_digest=self._request.body_digest,
-            claimed_at=int(self._tools.clock.wall()),
+            claimed_at=int(self._context.clock.wall()),
         )
 
-    async def _collect(self, attempt: Attempt) -> bool:
-        """Listen to the attempt that holds the claim.
+    async def _recover_claim_holder(self, attempt: Attempt) -> bool:
+        """Recover the attempt that holds the claim.
 
         Returns
         -------
         bool
-            False when that one never ran and never will, so that the claim
-            may pass to another attempt.
+            False when it is certain that the holder never runs, so that
+            another attempt may replace its claim.
         """
         claim = attempt.claim
         if not claim.endpoint:
             return False
-        view = self._tools.fleet.views.get(claim.endpoint)
+        view = self._context.fleet.views.get(claim.endpoint)
         if view is None:
             raise RequestFailedError(ErrorKind.outcome_unknown)
-        attempt.client = self._tools.links.open(view)
+        attempt.client = self._context.links.open(view)
         attempt.name = claim.attempt
         attempt.incarnation = claim.incarnation
-        self._tools.metrics.count('claims_collected')
+        self._context.metrics.count('claims_collected')
         return await self._recovery.recover(attempt)
 
-    def _release(self) -> None:
-        """Let a later retry pass a claim whose attempt was refused for good.
+    def _release_claim(self) -> None:
+        """Release the claim of an attempt that was refused for good.
 
-        Without it the retry would have to ask the endpoint that refused, and
-        could learn nothing once that one has been replaced.
+        Otherwise a later retry would have to ask the endpoint that refused,
+        and would get an unknown outcome once that endpoint is replaced.
         """
         attempt = self._progress.current
         claim = attempt.claim
@@ -293,14 +305,14 @@
         )
         spawn(self._write_release(Wish(released, claim.nonce)), 'release')
 
-    async def _write_release(self, wish: Wish) -> None:
+    async def _write_release(self, proposal: Wish) -> None:
         try:
-            await self._tools.claims.claim(wish)
+            await self._context.claims.claim(proposal)
         except (StoreUnavailableError, WireError) as error:
             log_event('release_failed', 'WARNING', why=type(error).__name__)
 
 
-def _end_of(error: Exception) -> RequestFailedError:
+def _to_request_error(error: Exception) -> RequestFailedError:
     if isinstance(error, RequestFailedError):
         return error
     return RequestFailedError(ErrorKind.outcome_unknown)
--- a/primrosewood/progress.py
+++ b/primrosewood/progress.py
@@ -1,4 +1,4 @@
-"""What an entry works with, and how far one request has come."""
+"""Shared dependencies of request handling, and the state of one request."""
 
 from dataclasses import dataclass, field
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tools:
-    """What the handling of every request works with."""
+    """The dependencies that all requests of an entry share."""
 
     settings: ProcessSettings
     signing_key: str
@@ -40,26 +40,31 @@
 
 @dataclass(slots=True)
 class Progress:
-    """How far one request has come.
+    """The state of one request.
 
     Attributes
     ----------
+    request
+        The request.
+    budget
+        Retry budget of its service.
     tried
-        Endpoints that refused it or lost it.
+        Names of the endpoints that refused it, or whose attempt of it broke
+        off.
     attempts
-        Offers made.
+        Number of attempts made.
     current
-        The attempt that is out.
+        The latest attempt.
     refusal
-        The last definite refusal.
+        The last refusal that proves that an attempt did not run.
     in_doubt
         Whether an attempt ended without a known outcome.
-    late
+    deadline_passed
         Whether its deadline has passed.
     resumed
-        Whether it carries on a stream that was begun elsewhere.
+        Whether it continues a stream that an earlier request began.
     complete
-        Whether its whole answer has come.
+        Whether its whole answer has arrived.
     """
 
     request: Request
@@ -69,19 +74,19 @@
     current: Attempt | None = None
     refusal: NotRunError | None = None
     in_doubt: bool = False
-    late: bool = False
+    deadline_passed: bool = False
     resumed: bool = False
     complete: bool = False
 
     @property
     def may_repeat(self) -> bool:
-        """Whether it may run again when its outcome is in doubt."""
-        keyed = bool(self.request.key)
-        return self.request.repeatable and not keyed and not self.resumed
+        """Whether another attempt may follow one of unknown outcome."""
+        has_key = bool(self.request.key)
+        return self.request.repeatable and not has_key and not self.resumed
 
     @property
-    def forwarded(self) -> bool:
-        """Whether the caller has part of an answer in hand."""
+    def has_partial_answer(self) -> bool:
+        """Whether the caller has received part of a streamed answer."""
         attempt = self.current
         if attempt is None or not self.request.streamed:
             return False
--- a/primrosewood/recovery.py
+++ b/primrosewood/recovery.py
@@ -1,4 +1,4 @@
-"""Finding an attempt again whose connection was lost."""
+"""Recovers attempts whose connection to the endpoint was lost."""
 
 from .attempt import Attempt
 from .errors import (
@@ -13,27 +13,27 @@
 
 
 class Recovery:
-    """Asks an endpoint for what it did while nobody listened."""
+    """Asks an endpoint for the outcome or the rest of a request's attempt."""
 
-    def __init__(self, tools: Tools, progress: Progress) -> None:
-        """Take the request's progress."""
-        self._tools = tools
+    def __init__(self, context: Tools, progress: Progress) -> None:
+        """Bind to the state of one request."""
+        self._context = context
         self._progress = progress
 
     async def recover(self, attempt: Attempt) -> bool:
-        """Ask what became of an attempt.
+        """Ask the endpoint about the state of an attempt.
 
         Returns
         -------
         bool
-            True when the attempt is followed again, False when it is now
-            certain that it never runs.
+            True when the attempt runs or has run and its answer is received
+            again, False when it is certain that it never runs.
 
         Raises
         ------
         RequestFailedError
-            ``outcome_unknown`` when the endpoint cannot be asked or does not
-            know.
+            ``outcome_unknown`` when the endpoint cannot be reached or does
+            not know the attempt.
         """
         if not await self._wait_linked(attempt):
             raise RequestFailedError(ErrorKind.outcome_unknown)
@@ -56,29 +56,29 @@
         RequestFailedError
             ``generation_lost`` when the endpoint cannot be reached in time.
         """
-        until = self._tools.clock.monotonic()
-        until += self._tools.settings.timing.resume_seconds
-        while self._tools.clock.monotonic() < until:
+        give_up_at = self._context.clock.monotonic()
+        give_up_at += self._context.settings.timing.resume_seconds
+        while self._context.clock.monotonic() < give_up_at:
             if await self._resume_once(attempt):
-                self._tools.metrics.count('resumes')
+                self._context.metrics.count('resumes')
                 return
         raise RequestFailedError(ErrorKind.generation_lost)
 
-    async def return_to(self, attempt: Attempt, error: DoubtError) -> None:
-        """Find an attempt again in mid-answer, or raise what ends it.
+    async def recover_answer(self, attempt: Attempt, error: DoubtError) -> None:
+        """Recover an attempt whose answer was interrupted, or raise an error.
 
-        An attempt that has handed nothing on and may be repeated is not
-        waited for: a fresh one elsewhere serves its caller sooner.
+        An attempt that may be repeated and has received no token is not
+        waited for: a new attempt at another endpoint answers sooner.
         """
         progress = self._progress
-        if progress.may_repeat and not self._worth_waiting(attempt):
+        if progress.may_repeat and not self._has_received_tokens(attempt):
             raise error
         if attempt.generation:
             await self.reattach(attempt)
         elif not await self.recover(attempt):
             raise progress.refusal
 
-    def _worth_waiting(self, attempt: Attempt) -> bool:
+    def _has_received_tokens(self, attempt: Attempt) -> bool:
         return bool(attempt.generation) and attempt.cursor.offset > 0
 
     async def _resume_once(self, attempt: Attempt) -> bool:
@@ -94,7 +94,7 @@
     async def _wait_linked(self, attempt: Attempt) -> bool:
         attempt.close()
         seconds = min(
-            self._tools.settings.timing.resume_seconds,
-            self._tools.seconds_left(self._progress.request),
+            self._context.settings.timing.resume_seconds,
+            self._context.seconds_left(self._progress.request),
         )
         return await attempt.client.wait_linked(max(0, seconds))
--- a/primrosewood/requests.py
+++ b/primrosewood/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request inside an entry, and the events of its answer."""
+"""A caller's request as an entry handles it, and the events of its answer."""
 
 from dataclasses import dataclass, field
 
@@ -8,32 +8,41 @@
 __all__ = (
     'AnswerEvent',
     'Ended',
-    'Pieces',
+    'PlainResponse',
     'Request',
     'Restarted',
     'Started',
-    'WholeReply',
+    'TokenChunk',
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A checked request.
+    """A validated request.
 
     Attributes
     ----------
     organisation
-        Whose request it is.
+        The caller's organisation.
     service
         Name of the service within the organisation's team.
     deadline
-        Monotonic seconds.
+        Time on the monotonic clock in seconds.
     streamed
-        Whether the caller reads while the answer is made.
+        Whether the caller reads the answer as a stream.
     key
         The caller's idempotency key, empty when there is none.
+    prompt, max_tokens
+        Input and token limit of a generation.
+    method, path, content_type
+        HTTP request line and content type for a plain service.
+    body
+        The caller's body for a plain service; for a generation, the JSON
+        fields that only the engine reads.
     repeatable
         Whether it may run again when its outcome is in doubt.
+    name
+        Identifier of the request.
     """
 
     organisation: Organisation
@@ -59,7 +68,7 @@
 
     @property
     def body_digest(self) -> str:
-        """Digest of what is asked, to tell a retry from another request."""
+        """Digest of the content, to tell a retry from a different request."""
         return digest_key(
             self.method,
             self.path,
@@ -71,19 +80,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """A generation runs; ``signed`` begins its event ids."""
+    """A generation runs; its event ids begin with ``event_id_prefix``."""
 
-    signed: str
+    event_id_prefix: str
 
 
 @dataclass(frozen=True, slots=True)
 class Restarted:
-    """Nothing of the answer so far counts: another generation follows."""
+    """The answer so far is void: another attempt follows."""
 
 
 @dataclass(frozen=True, slots=True)
-class Pieces:
-    """New tokens; ``offset`` is the number of tokens after them."""
+class TokenChunk:
+    """New tokens; ``offset`` is the number of tokens including them."""
 
     offset: int
     pieces: list[str]
@@ -93,18 +102,18 @@
 class Ended:
     """The generation is complete."""
 
-    total: int
+    completion_tokens: int
     finish_reason: str
     prompt_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
-class WholeReply:
-    """A plain service's answer."""
+class PlainResponse:
+    """The whole answer of a plain service."""
 
     status: int
     content_type: str
     body: bytes
 
 
-AnswerEvent = Started | Restarted | Pieces | Ended | WholeReply
+AnswerEvent = Started | Restarted | TokenChunk | Ended | PlainResponse
