--- a/primrosewood/callers.py
+++ b/primrosewood/callers.py
@@ -97,7 +97,7 @@
         app.on_response_prepare.append(self._on_response_prepare)
         return app
 
-    def end_unanswered(self) -> None:
+    def fail_unanswered(self) -> None:
         """Answer all requests without a response with an error.
 
         Used when the entry stops. A connection that just closes would not
--- a/primrosewood/claimrouter.py
+++ b/primrosewood/claimrouter.py
@@ -12,7 +12,7 @@
 import xxhash
 
 from . import gen_wire as wire
-from .claims import ClaimKeeper, ClaimResult, Wish, shard_of
+from .claims import ClaimKeeper, ClaimProposal, ClaimResult, shard_of
 from .errors import StoreUnavailableError, WireError
 from .fleet import ENTRY_SERVICE, Fleet
 from .gen_wire import ClaimRecord
@@ -59,7 +59,7 @@
         self._shards = shards
         self._timeout_seconds = patience
 
-    async def claim(self, proposal: Wish) -> ClaimResult:
+    async def claim(self, proposal: ClaimProposal) -> ClaimResult:
         """Write a claim, or return the one already in force for its key.
 
         Raises
@@ -92,14 +92,16 @@
 
     async def _write_for_peer(self, ask: wire.ClaimAsk, link: Link) -> None:
         try:
-            result = await self._keeper.claim(Wish(ask.record, ask.replaces))
+            result = await self._keeper.claim(
+                ClaimProposal(ask.record, ask.replaces)
+            )
         except (StoreUnavailableError, WireError):
             link.send(wire.ClaimTold(ask.attempt, None))
             return
         link.send(wire.ClaimTold(ask.attempt, result.record))
 
     async def _ask_writer(
-        self, writer: LinkClient, proposal: Wish
+        self, writer: LinkClient, proposal: ClaimProposal
     ) -> ClaimResult | None:
         """Return the writer's result, None when it gave none in time."""
         inbox = Inbox()
--- a/primrosewood/claims.py
+++ b/primrosewood/claims.py
@@ -24,8 +24,8 @@
 __all__ = (
     'CLAIMS_PREFIX',
     'ClaimKeeper',
+    'ClaimProposal',
     'ClaimResult',
-    'Wish',
     'apply_proposals',
     'parse_page',
     'serialise_page',
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class ClaimProposal:
     """A claim that an entry wants to write.
 
     Attributes
@@ -86,7 +86,7 @@
     name: str
     page: Page = field(default_factory=dict)
     revision: int = 0
-    waiting: dict[str, tuple[Wish, asyncio.Future]] = field(
+    waiting: dict[str, tuple[ClaimProposal, asyncio.Future]] = field(
         default_factory=dict
     )
     task: asyncio.Task | None = None
@@ -120,7 +120,7 @@
 
 
 def apply_proposals(
-    page: Page, proposals: list[Wish], oldest_kept: int
+    page: Page, proposals: list[ClaimProposal], oldest_kept: int
 ) -> tuple[Page, dict[str, ClaimResult]]:
     """Apply proposals to a page.
 
@@ -155,7 +155,9 @@
     return merged, results
 
 
-def _is_applicable(proposal: Wish, current: ClaimRecord | None) -> bool:
+def _is_applicable(
+    proposal: ClaimProposal, current: ClaimRecord | None
+) -> bool:
     if current is None:
         return True
     return bool(proposal.replaces) and current.nonce == proposal.replaces
@@ -196,7 +198,7 @@
         """Number of compare-and-swap requests sent."""
         return self._swaps
 
-    async def claim(self, proposal: Wish) -> ClaimResult:
+    async def claim(self, proposal: ClaimProposal) -> ClaimResult:
         """Write a claim, or return the one already in force for its key.
 
         Raises
--- a/primrosewood/dispatch.py
+++ b/primrosewood/dispatch.py
@@ -14,7 +14,7 @@
     RequestFailedError,
 )
 from .placement import Placement
-from .progress import Progress, Tools
+from .progress import EntryContext, Progress
 from .recovery import Recovery
 from .requests import (
     AnswerEvent,
@@ -41,7 +41,7 @@
 class Dispatcher:
     """Places each request at an endpoint and streams the answer back."""
 
-    def __init__(self, context: Tools) -> None:
+    def __init__(self, context: EntryContext) -> None:
         """Start without retry budgets; each is created on first use."""
         self._context = context
         self._budgets: dict[tuple[str, str], RetryBudget] = {}
@@ -83,7 +83,7 @@
 class _RequestRun:
     """The handling of one request."""
 
-    def __init__(self, context: Tools, progress: Progress) -> None:
+    def __init__(self, context: EntryContext, progress: Progress) -> None:
         self._context = context
         self._progress = progress
         self._request = progress.request
--- a/primrosewood/placement.py
+++ b/primrosewood/placement.py
@@ -7,7 +7,7 @@
 
 from . import gen_wire as wire
 from .attempt import Attempt
-from .claims import Wish
+from .claims import ClaimProposal
 from .errors import (
     AttemptFailedError,
     DoubtError,
@@ -21,7 +21,7 @@
 from .logs import log_decision, log_event
 from .membership import EndpointView, Veto
 from .process import spawn
-from .progress import Progress, Tools
+from .progress import EntryContext, Progress
 from .recovery import Recovery
 from .retries import jitter
 from .routing import Choice, Work
@@ -39,7 +39,7 @@
     """Finds an endpoint that admits one request."""
 
     def __init__(
-        self, context: Tools, progress: Progress, recovery: Recovery
+        self, context: EntryContext, progress: Progress, recovery: Recovery
     ) -> None:
         """Bind to the state of one request."""
         self._context = context
@@ -230,7 +230,7 @@
         """Claim the key for an attempt; False when another attempt holds it."""
         previous = attempt.claim
         record = self._make_claim(attempt)
-        proposal = Wish(record, previous.nonce if previous else '')
+        proposal = ClaimProposal(record, previous.nonce if previous else '')
         result = await self._await_claim_store(
             self._context.claims.claim(proposal)
         )
@@ -303,9 +303,11 @@
         released = msgspec.structs.replace(
             claim, nonce=make_identifier(), endpoint='', attempt=''
         )
-        spawn(self._write_release(Wish(released, claim.nonce)), 'release')
+        spawn(
+            self._write_release(ClaimProposal(released, claim.nonce)), 'release'
+        )
 
-    async def _write_release(self, proposal: Wish) -> None:
+    async def _write_release(self, proposal: ClaimProposal) -> None:
         try:
             await self._context.claims.claim(proposal)
         except (StoreUnavailableError, WireError) as error:
--- a/primrosewood/progress.py
+++ b/primrosewood/progress.py
@@ -15,11 +15,11 @@
 from .routing import Policy
 from .settings import SettingsStore
 
-__all__ = ('Progress', 'Tools')
+__all__ = ('EntryContext', 'Progress')
 
 
 @dataclass(frozen=True, slots=True)
-class Tools:
+class EntryContext:
     """The dependencies that all requests of an entry share."""
 
     settings: ProcessSettings
--- a/primrosewood/recovery.py
+++ b/primrosewood/recovery.py
@@ -7,7 +7,7 @@
     NotRunError,
     RequestFailedError,
 )
-from .progress import Progress, Tools
+from .progress import EntryContext, Progress
 
 __all__ = ('Recovery',)
 
@@ -15,7 +15,7 @@
 class Recovery:
     """Asks an endpoint for the outcome or the rest of a request's attempt."""
 
-    def __init__(self, context: Tools, progress: Progress) -> None:
+    def __init__(self, context: EntryContext, progress: Progress) -> None:
         """Bind to the state of one request."""
         self._context = context
         self._progress = progress
