--- a/primrosewood/admission.py
+++ b/primrosewood/admission.py
@@ -9,9 +9,9 @@
 from .errors import ErrorKind, NotRunError
 from .fairness import FairQueue, QueuedRequest
 from .gen_wire import Load
-from .lengths import LengthBook
-from .memory import Booking, MemoryBook
-from .warmup import ConcurrencyLimit, Targets
+from .lengths import LengthPredictor
+from .memory import Booking, MemoryTracker
+from .warmup import ConcurrencyLimit, ConcurrencyTargets
 
 __all__ = ('Admission', 'AdmissionRequest')
 
@@ -34,7 +34,7 @@
     kind, template
         Kind of request and digest of the beginning of its prompt; they
         select the group for length prediction.
-    prompt_tokens, longest
+    prompt_tokens, max_output_tokens
         Tokens of the prompt, and the maximum number of output tokens.
     patience
         Maximum time in the queue, in seconds.
@@ -48,7 +48,7 @@
     kind: str
     template: str
     prompt_tokens: int
-    longest: int
+    max_output_tokens: int
     patience: float
     seconds_left: float
 
@@ -65,7 +65,11 @@
     """
 
     def __init__(
-        self, clock: Clock, targets: Targets, queue_length: int, capacity: int
+        self,
+        clock: Clock,
+        targets: ConcurrencyTargets,
+        queue_length: int,
+        capacity: int,
     ) -> None:
         """Start with the limit of a cold engine and no requests.
 
@@ -82,8 +86,8 @@
         """
         self._clock = clock
         self.limit = ConcurrencyLimit(targets)
-        self.lengths = LengthBook()
-        self.memory = MemoryBook(capacity, self.lengths)
+        self.lengths = LengthPredictor()
+        self.memory = MemoryTracker(capacity, self.lengths)
         self.queue = FairQueue(queue_length)
         self._running: dict[str, AdmissionRequest] = {}
         self._requests: dict[str, AdmissionRequest] = {}
@@ -175,7 +179,7 @@
         self._requests.pop(name)
         return True
 
-    def note_tokens(self, name: str, produced: int, added: int) -> None:
+    def record_tokens(self, name: str, produced: int, added: int) -> None:
         """Record the tokens that a running request has produced.
 
         Parameters
@@ -262,7 +266,7 @@
                 name=request.name,
                 organisation=request.organisation,
                 share=request.share,
-                expected_tokens=min(expected_tokens, request.longest),
+                expected_tokens=min(expected_tokens, request.max_output_tokens),
                 queued_at=now,
                 latest_start=now + request.patience,
                 deadline=now + request.seconds_left,
@@ -282,5 +286,5 @@
     return Booking(
         group=request.group,
         prompt=request.prompt_tokens,
-        longest=request.longest,
+        max_output_tokens=request.max_output_tokens,
     )
--- a/primrosewood/backendset.py
+++ b/primrosewood/backendset.py
@@ -190,7 +190,7 @@
         """Pass it over for a moment, as it did not take a call."""
         self.suspect_until = max(self.suspect_until, now + _SUSPECT_SECONDS)
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Pass it over for a while after a call that got no answer.
 
         One that fails part of its calls while its records and reports are
--- a/primrosewood/callplacement.py
+++ b/primrosewood/callplacement.py
@@ -22,7 +22,7 @@
     NotRunError,
     RequestFailedError,
 )
-from .lengths import LengthBook
+from .lengths import LengthPredictor
 from .logs import log_decision
 from .metrics import Metrics
 from .routes import EngineTraits, TableHolder
@@ -87,7 +87,7 @@
     random: RandomSource
     clock: Clock
     metrics: Metrics
-    lengths: LengthBook = field(default_factory=LengthBook)
+    lengths: LengthPredictor = field(default_factory=LengthPredictor)
     announce: Callable[[Backend, str, int, int], None] = _ignore
     count_call: Callable[[Backend], None] = _count_nothing
 
@@ -226,7 +226,7 @@
             self._note_refusal(leg.backend, error)
             raise
         except BackendCutError:
-            leg.backend.note_failure(self._now())
+            leg.backend.record_failure(self._now())
             raise
         except asyncio.CancelledError:
             self._note_silence(call, booking, now)
@@ -297,7 +297,7 @@
         now = self._now()
         patience = _SILENT_OBJECTIVES * call.route.objective
         if not booking.answered and now >= since + patience:
-            booking.backend.note_failure(now)
+            booking.backend.record_failure(now)
 
     def _candidates(self, progress: CallProgress, now: float) -> list[Backend]:
         return [
--- a/primrosewood/lengths.py
+++ b/primrosewood/lengths.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-__all__ = ('HORIZONS', 'LengthBook', 'LengthHistogram', 'Outlook')
+__all__ = ('HORIZONS', 'LengthPredictor', 'LengthHistogram', 'LengthForecast')
 
 # Numbers of further tokens that a forecast covers.
 HORIZONS = (32, 64, 128, 256, 512, 1024, 2048)
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outlook:
+class LengthForecast:
     """Forecast for one running generation.
 
     Attributes
@@ -62,7 +62,7 @@
         """Start without observations."""
         self._counts = [0.0 for _ in _EDGES]
         self._observations = 0
-        self._forecasts: list[Outlook] = []
+        self._forecasts: list[LengthForecast] = []
 
     @property
     def observations(self) -> int:
@@ -81,13 +81,13 @@
         ):
             self._forecasts = []
 
-    def predict(self, produced: int) -> Outlook:
+    def predict(self, produced: int) -> LengthForecast:
         """Return the forecast for a generation with `produced` tokens."""
         if not self._forecasts:
             self._forecasts = self._build_forecasts()
         return self._forecasts[bisect.bisect_right(_EDGES, produced) - 1]
 
-    def _build_forecasts(self) -> list[Outlook]:
+    def _build_forecasts(self) -> list[LengthForecast]:
         survival = self._sum_survival()
         return [self._forecast_from(edge, survival) for edge in _EDGES]
 
@@ -101,7 +101,9 @@
         survival.reverse()
         return survival
 
-    def _forecast_from(self, produced: int, survival: list[float]) -> Outlook:
+    def _forecast_from(
+        self, produced: int, survival: list[float]
+    ) -> LengthForecast:
         surviving = _interpolate(produced, survival)
         if surviving <= 0:
             # Longer than any observed length: expect as many tokens again.
@@ -110,7 +112,7 @@
             _interpolate(produced + ahead, survival) / surviving
             for ahead in HORIZONS
         )
-        return Outlook(alive, self._sum_remaining(produced) / surviving)
+        return LengthForecast(alive, self._sum_remaining(produced) / surviving)
 
     def _sum_remaining(self, produced: int) -> float:
         return sum(
@@ -120,7 +122,7 @@
         )
 
 
-class LengthBook:
+class LengthPredictor:
     """Length histograms by group.
 
     A group with few observations falls back to the next coarser one.
@@ -147,7 +149,7 @@
         while len(self._histograms) > _MAX_GROUPS:
             self._histograms.popitem(last=False)
 
-    def predict(self, group: Group, produced: int) -> Outlook:
+    def predict(self, group: Group, produced: int) -> LengthForecast:
         """Return the forecast of the finest group with enough observations."""
         for size in range(len(group), -1, -1):
             histogram = self._histograms.get(group[:size])
@@ -171,8 +173,10 @@
     )
 
 
-def _exponential_forecast(mean: float) -> Outlook:
-    return Outlook(tuple(math.exp(-ahead / mean) for ahead in HORIZONS), mean)
+def _exponential_forecast(mean: float) -> LengthForecast:
+    return LengthForecast(
+        tuple(math.exp(-ahead / mean) for ahead in HORIZONS), mean
+    )
 
 
 def _midpoint(bucket: int) -> float:
--- a/primrosewood/lookup.py
+++ b/primrosewood/lookup.py
@@ -101,7 +101,7 @@
                 kind='streamed',
                 template='',
                 prompt_tokens=0,
-                longest=0,
+                max_output_tokens=0,
                 patience=0,
                 seconds_left=0,
             )
--- a/primrosewood/memory.py
+++ b/primrosewood/memory.py
@@ -3,9 +3,9 @@
 import math
 from dataclasses import dataclass
 
-from .lengths import HORIZONS, LengthBook
+from .lengths import HORIZONS, LengthPredictor
 
-__all__ = ('Booking', 'MemoryBook')
+__all__ = ('Booking', 'MemoryTracker')
 
 _MIN_DEVIATIONS = 3.0
 _MAX_DEVIATIONS = 4.0
@@ -24,7 +24,7 @@
     ----------
     group
         Group for length prediction, coarsest part first.
-    prompt, longest
+    prompt, max_output_tokens
         Tokens of the prompt, and the maximum number of output tokens.
     produced
         Output tokens produced so far.
@@ -32,7 +32,7 @@
 
     group: tuple[str, ...]
     prompt: int
-    longest: int
+    max_output_tokens: int
     produced: int = 0
 
     @property
@@ -41,7 +41,7 @@
         return self.prompt + self.produced
 
 
-class MemoryBook:
+class MemoryTracker:
     """Estimates whether one more generation fits into an engine's memory.
 
     For each of a few horizons (numbers of tokens ahead), a generation that
@@ -63,7 +63,7 @@
         Predicts how long generations continue.
     """
 
-    def __init__(self, capacity: int, lengths: LengthBook) -> None:
+    def __init__(self, capacity: int, lengths: LengthPredictor) -> None:
         """Start without generations."""
         self.capacity = capacity
         self._lengths = lengths
@@ -122,7 +122,7 @@
             _MIN_DEVIATIONS, self._deviations - _DEVIATIONS_PER_FINISH
         )
 
-    def note_preemptions(self, count: int) -> None:
+    def record_preemptions(self, count: int) -> None:
         """Keep more memory free after preemptions at the engine."""
         deviations = self._deviations + count * _DEVIATIONS_PER_PREEMPTION
         self._deviations = min(_MAX_DEVIATIONS, deviations)
@@ -176,7 +176,7 @@
 def _estimate_demand(
     booking: Booking, index: int, alive: tuple[float, ...]
 ) -> _MemoryDemand:
-    max_held = booking.prompt + booking.longest
+    max_held = booking.prompt + booking.max_output_tokens
     projected = min(max_held, booking.held + HORIZONS[index])
     mean = alive[index] * projected
     return _MemoryDemand(projected, mean, mean * (projected - mean))
--- a/primrosewood/warmup.py
+++ b/primrosewood/warmup.py
@@ -4,7 +4,7 @@
 
 from .logs import log_event
 
-__all__ = ('ConcurrencyLimit', 'Targets')
+__all__ = ('ConcurrencyLimit', 'ConcurrencyTargets')
 
 # Slowness is a measured latency divided by its target.
 _GROW_RATIO = 1.25
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Targets:
+class ConcurrencyTargets:
     """Bounds of the concurrency limit, and its latency targets.
 
     Attributes
@@ -45,7 +45,7 @@
     when a warm engine turns cold, so the engine need not announce either.
     """
 
-    def __init__(self, targets: Targets) -> None:
+    def __init__(self, targets: ConcurrencyTargets) -> None:
         """Start with the initial limit."""
         self._targets = targets
         self._limit = float(targets.start)
@@ -58,7 +58,7 @@
         """Number of requests that may run concurrently."""
         return int(self._limit)
 
-    def update_targets(self, targets: Targets) -> None:
+    def update_targets(self, targets: ConcurrencyTargets) -> None:
         """Apply new targets.
 
         The limit takes the new initial value if no answer was observed yet,
@@ -96,7 +96,7 @@
             # Only answers given under load show that the engine bears more.
             self._grow()
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Reset the limit after a request that the engine failed."""
         self._reset(0)
 
--- a/primrosewood/worker.py
+++ b/primrosewood/worker.py
@@ -25,9 +25,9 @@
 from .runner import JobRunner, RunnerCallbacks, estimate_tokens
 from .settings import SettingsStore
 from .subscribers import SubscriberRegistry
-from .warmup import Targets
+from .warmup import ConcurrencyTargets
 
-__all__ = ('Place', 'Worker')
+__all__ = ('EndpointIdentity', 'Worker')
 
 _MILLISECONDS = 1000
 _MIN_RETRY_SECONDS = 0.5
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class EndpointIdentity:
     """Identity of an endpoint process.
 
     Attributes
@@ -99,7 +99,7 @@
 
     def __init__(
         self,
-        place: Place,
+        place: EndpointIdentity,
         store: SettingsStore,
         engine: Engine,
         plain_service: PlainService,
@@ -201,11 +201,11 @@
         self._leaving = True
         self._refuse_queued(ErrorKind.leaving)
 
-    def learn_load(self, load: EngineLoad) -> None:
+    def update_engine_load(self, load: EngineLoad) -> None:
         """Apply memory size and preemptions from the engine's report."""
         self.admission.memory.capacity = load.capacity_tokens
         new_preemptions = max(0, load.preemptions - self._last_preemptions)
-        self.admission.memory.note_preemptions(new_preemptions)
+        self.admission.memory.record_preemptions(new_preemptions)
         self._last_preemptions = load.preemptions
 
     def tick(self) -> None:
@@ -430,7 +430,7 @@
             kind='streamed' if offer.streamed else 'whole',
             template=digest_template(offer.prompt),
             prompt_tokens=estimate_tokens(offer.prompt),
-            longest=offer.max_tokens,
+            max_output_tokens=offer.max_tokens,
             patience=min(self._service.queue_seconds, seconds_left),
             seconds_left=seconds_left,
         )
@@ -461,8 +461,8 @@
     return f'{offer.team}/{offer.organisation}'
 
 
-def _make_targets(service: Service) -> Targets:
-    return Targets(
+def _make_targets(service: Service) -> ConcurrencyTargets:
+    return ConcurrencyTargets(
         start=service.start_running,
         most=service.max_running,
         first_token=service.first_token_seconds,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,9 +7,9 @@
 
 from primrosewood.admission import Admission, AdmissionRequest
 from primrosewood.errors import NotRunError
-from primrosewood.lengths import HORIZONS, LengthBook, LengthHistogram
-from primrosewood.memory import Booking, MemoryBook
-from primrosewood.warmup import Targets
+from primrosewood.lengths import HORIZONS, LengthHistogram, LengthPredictor
+from primrosewood.memory import Booking, MemoryTracker
+from primrosewood.warmup import ConcurrencyTargets
 
 
 class ManualClock:
@@ -26,7 +26,7 @@
 
 
 def make_request(
-    name, organisation='o', patience=5.0, longest=100, seconds_left=60
+    name, organisation='o', patience=5.0, max_output_tokens=100, seconds_left=60
 ):
     return AdmissionRequest(
         name,
@@ -35,7 +35,7 @@
         'whole',
         't',
         10,
-        longest,
+        max_output_tokens,
         patience,
         seconds_left,
     )
@@ -46,7 +46,9 @@
 
     def setUp(self):
         self.clock = ManualClock()
-        targets = Targets(start=2, most=2, first_token=1, between_tokens=0.1)
+        targets = ConcurrencyTargets(
+            start=2, most=2, first_token=1, between_tokens=0.1
+        )
         self.admission = Admission(self.clock, targets, 4, 0)
 
     def test_runs_then_queues_then_refuses(self):
@@ -139,7 +141,9 @@
     def test_shares_by_tokens_not_requests(self):
         """One organisation asks for answers of 900 tokens, another of 100."""
         clock = ManualClock()
-        targets = Targets(start=1, most=1, first_token=1, between_tokens=1)
+        targets = ConcurrencyTargets(
+            start=1, most=1, first_token=1, between_tokens=1
+        )
         admission = Admission(clock, targets, 10_000, 0)
         served = {'long': 0, 'short': 0}
         sizes = {'long': 900, 'short': 100}
@@ -154,7 +158,7 @@
             (current,) = admission._running
             name = current.partition('-')[0]
             served[name] += sizes[name]
-            admission.note_tokens(current, sizes[name], sizes[name])
+            admission.record_tokens(current, sizes[name], sizes[name])
             admission.finish(current, sizes[name], whole=True)
             admission.admit_waiting()
         self.assertLess(abs(served['long'] - served['short']), 6000)
@@ -175,7 +179,7 @@
         self.assertAlmostEqual(1.0, later.alive[2], delta=0.05)
 
     def test_sparse_group_falls_back(self):
-        predictor = LengthBook()
+        predictor = LengthPredictor()
         for _ in range(50):
             predictor.observe(('streamed', 'a'), 1000)
         self.assertEqual(
@@ -205,11 +209,11 @@
     """Admission by memory demand."""
 
     def make_tracker(self, capacity=1000):
-        lengths = LengthBook()
+        lengths = LengthPredictor()
         for _ in range(60):
             lengths.observe(('short',), 10)
             lengths.observe(('long',), 600)
-        return MemoryBook(capacity, lengths)
+        return MemoryTracker(capacity, lengths)
 
     def test_empty_engine_takes_anything(self):
         tracker = self.make_tracker()
@@ -224,7 +228,7 @@
     def test_preemptions_raise_the_reserve(self):
         tracker = self.make_tracker()
         before = tracker.deviations
-        tracker.note_preemptions(3)
+        tracker.record_preemptions(3)
         self.assertGreater(tracker.deviations, before)
         for number in range(1000):
             tracker.remove(str(number))
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -178,7 +178,7 @@
             chosen = balancer.choose(backends, Placing('d1', now))
             faulty = 5 <= now < 17 and source.random() < 0.45
             if chosen.name == 'failing' and faulty:
-                chosen.note_failure(now)
+                chosen.record_failure(now)
                 lost += 1
             else:
                 chosen.note_success()
@@ -201,12 +201,12 @@
 
     def test_one_failure_sets_aside_for_a_second(self):
         backend = make_backend('a')
-        backend.note_failure(10)
+        backend.record_failure(10)
         self.assertAlmostEqual(11, backend.suspect_until)
 
     def test_what_fails_always_is_tried_again_within_ten_seconds(self):
         backend = make_backend('a')
         for _ in range(100):
-            backend.note_failure(10)
+            backend.record_failure(10)
         self.assertLess(backend.suspect_until, 20)
         self.assertGreater(backend.suspect_until, 18)
