--- a/primrosewood/enginekeeper.py
+++ b/primrosewood/enginekeeper.py
@@ -1,7 +1,8 @@
-"""The process beside an engine: tells its report, and moves what runs there.
+"""Follows one engine from the endpoint process on the engine's VM.
 
-It sees the engine's notice first, within one reading of its report, and it is
-the one place that orders moves off that engine.
+The endpoint process polls the engine's report and broadcasts it to all entries.
+It is the first to see the engine's notice of leaving, and the only process that
+orders moves of running generations off that engine.
 """
 
 import asyncio
@@ -23,50 +24,59 @@
 
 __all__ = ('EngineKeeper',)
 
-# A notice is 1.5 to 2.1 s; reading the report twenty times a second costs the
-# local process a fiftieth of a core and shows it within 0.05 s.
-_READ_SECONDS = 0.05
-# Calls that entries announce within this time are told together.
-_GATHER_SECONDS = 0.002
-# Between two tries to learn the engine's name.  Each is paid for.
-_NAME_SECONDS = 1.0
-# Entries that are asked at a time: all answer alike, but one of them may itself
-# be cut off, or have just started.
-_MOST_ASKED = 3
-# Told while the engine does not answer: it takes no new work.
-_GONE = EngineState(leaving=True)
+# An engine gives 1.5 to 2.1 s of notice before it leaves. Polling its report 20
+# times a second detects the notice within 0.05 s and costs this process 2 % of
+# a core.
+_REPORT_POLL_SECONDS = 0.05
+# Calls that entries announce within this time share one report.
+_ANNOUNCEMENT_BATCH_SECONDS = 0.002
+# Delay between attempts to identify the engine, as each attempt is billed.
+_IDENTIFY_RETRY_SECONDS = 1.0
+# Any entry can answer a query; several are asked because one of them may be
+# partitioned or may have just started.
+_MAX_ASKED_ENTRIES = 3
+# Reported while the engine does not answer, so that it gets no new calls.
+_UNREACHABLE_STATE = EngineState(leaving=True)
 
 
 class EngineKeeper:
-    """Follows one engine and moves its generations when it leaves."""
+    """Follows one engine and moves its generations when it leaves.
+
+    Attributes
+    ----------
+    server
+        Links to entries; has to be set before `run`.
+    found
+        Announcement of the engine, None while it is not identified.
+    """
 
     def __init__(
         self,
         engine: MovableEngine,
-        place: EnginePlace,
+        location: EnginePlace,
         clock: Clock,
         metrics: Metrics,
         random: RandomSource,
     ) -> None:
-        """Start without a report."""
+        """Create a keeper that has no report yet."""
         self._engine = engine
-        self._place = place
+        self._location = location
         self._clock = clock
         self._mover = EngineMover(
             engine,
-            place,
+            location,
             clock,
             metrics,
             random,
-            tell=self._broadcast,
-            ask=self._ask_some,
+            broadcast=self._broadcast,
+            ask_entries=self._send_to_some,
         )
         self._reports = EngineReports()
-        self._pace = TokenPace()
-        self._gathering: asyncio.TimerHandle | None = None
+        self._token_pace = TokenPace()
+        self._batch_timer: asyncio.TimerHandle | None = None
         self._reading: EngineReading | None = None
-        self._engine_answers = asyncio.Event()
-        self._named = asyncio.Event()
+        self._engine_reachable = asyncio.Event()
+        self._identified = asyncio.Event()
         self.server: PeerServer | None = None
         self.found: wire.EngineFound | None = None
 
@@ -77,152 +87,158 @@
 
     @property
     def needed(self) -> bool:
-        """Whether there is an engine with something to move or to tell."""
+        """Whether generations still run on the engine or are being moved."""
         if self.moving:
             return True
         return self._reading is not None and bool(self._reading.runs)
 
     @property
     def last_report(self) -> wire.EngineReport | None:
-        """What entries were told last, None before the first report."""
+        """Report that was last broadcast, None before the first one."""
         return self._reports.last
 
     def stop_moves(self) -> None:
-        """Stop no further generation, as this process ends."""
+        """Start no further move, because this process is about to exit."""
         self._mover.stop()
 
     async def run(self) -> None:
-        """Follow the engine until cancelled."""
+        """Poll the engine's report until cancelled."""
         while True:
-            began = self._clock.monotonic()
+            started_at = self._clock.monotonic()
             try:
                 reading = await self._engine.read()
             except BackendCutError as error:
-                self._lose_engine(error)
+                self._handle_engine_lost(error)
             else:
-                self._take(reading, began)
-            await asyncio.sleep(_READ_SECONDS)
+                self._handle_reading(reading, started_at)
+            await asyncio.sleep(_REPORT_POLL_SECONDS)
 
     def handle(self, message: Message, link: Link) -> None:
-        """Act on an entry's message."""
+        """Handle a message from an entry."""
         match message:
             case wire.CallPlaced():
-                self._take_placed(message)
+                self._handle_call_placed(message)
             case wire.EngineFound():
-                # One entry heard of an engine; the others hear it from here.
+                # Forwarded, as entries have no links to each other.
                 self._broadcast(message)
             case wire.RoomTold():
-                self._mover.take_room(message)
+                self._mover.handle_capacity_reply(message)
             case wire.PairsAsk():
-                self._ask_some(message, link)
+                self._send_to_some(message, link)
             case wire.PairsTold():
-                self._pass_on(message, link)
+                self._forward_pairs(message, link)
             case wire.LimitTold():
                 self._broadcast(message, link)
 
     async def run_naming(self) -> None:
-        """Learn the engine's name, for announcements, until cancelled.
+        """Keep the engine identified, for announcements, until cancelled.
 
-        A full engine answers late or not at all, so this never holds up the
-        reading of its reports.
+        Runs apart from `run`: a full engine answers late or not at all, and
+        that must not delay the polling of its reports.
         """
         while True:
-            await self._engine_answers.wait()
-            await self._learn_name()
+            await self._engine_reachable.wait()
+            await self._identify_engine()
             if self.found is None:
-                await asyncio.sleep(_NAME_SECONDS)
+                await asyncio.sleep(_IDENTIFY_RETRY_SECONDS)
             else:
-                self._engine_answers.clear()
-                self._named.set()
+                self._engine_reachable.clear()
+                self._identified.set()
 
     async def wait_named(self, seconds: float) -> None:
-        """Wait until the engine's name is learned, or for some time."""
+        """Wait until the engine is identified, at most some seconds."""
         try:
             async with asyncio.timeout(seconds):
-                await self._named.wait()
+                await self._identified.wait()
         except TimeoutError:
             return
-        self._named.clear()
+        self._identified.clear()
 
-    def _pass_on(self, message: wire.PairsTold, link: Link) -> None:
+    def _forward_pairs(self, message: wire.PairsTold, link: Link) -> None:
         if message.asker:
             self.server.send_to(message.asker, message)
         else:
             self._broadcast(message, link)
 
-    def _broadcast(self, message: Message, but: Link | None = None) -> None:
-        self.server.broadcast(message, but=but)
+    def _broadcast(self, message: Message, exclude: Link | None = None) -> None:
+        self.server.broadcast(message, exclude=exclude)
 
-    def _ask_some(self, message: Message, but: Link | None = None) -> None:
-        self.server.send_to_some(message, _MOST_ASKED, but=but)
+    def _send_to_some(
+        self, message: Message, exclude: Link | None = None
+    ) -> None:
+        self.server.send_to_some(message, _MAX_ASKED_ENTRIES, exclude=exclude)
 
-    async def _learn_name(self) -> None:
+    async def _identify_engine(self) -> None:
         try:
             name = await self._engine.identify()
         except BackendCutError as error:
             log_event('engine_unnamed', why=error)
             return
         if self._reading is None:
-            # It may be another engine by now.
+            # The engine was lost meanwhile; another one may take its address.
             return
         self.found = wire.EngineFound(
             name=name,
             address=self._engine.address,
-            service=self._place.service,
-            failure_domain=self._place.failure_domain,
+            service=self._location.service,
+            failure_domain=self._location.failure_domain,
         )
 
-    def _lose_engine(self, error: BackendCutError) -> None:
+    def _handle_engine_lost(self, error: BackendCutError) -> None:
         if self._reading is not None:
             log_event('engine_lost', 'WARNING', why=error)
-        self._mover.lose()
+        self._mover.handle_engine_lost()
         self._reading = None
         self.found = None
-        self._engine_answers.clear()
-        self._named.clear()
-        self._pace = TokenPace()
-        self._reports.take(_GONE, self._clock.monotonic())
-        # Entries would take silence for the loss of this process.
-        self._tell()
-
-    def _take_placed(self, message: wire.CallPlaced) -> None:
-        self._mover.expect(message.attempt, message.whole_tokens)
+        self._engine_reachable.clear()
+        self._identified.clear()
+        self._token_pace = TokenPace()
+        self._reports.take(_UNREACHABLE_STATE, self._clock.monotonic())
+        # Without a report entries would assume that this process is lost.
+        self._send_report_if_due()
+
+    def _handle_call_placed(self, message: wire.CallPlaced) -> None:
+        self._mover.record_expected_tokens(
+            message.attempt, message.whole_tokens
+        )
         if not message.unread_tokens:
-            # A copy that goes on here; the engine counts it already.
+            # A moved generation that continues here is already counted.
             return
         self._reports.announce(message.unread_tokens, self._clock.monotonic())
-        if self._gathering is None:
+        if self._batch_timer is None:
             loop = asyncio.get_running_loop()
-            self._gathering = loop.call_later(
-                _GATHER_SECONDS, self._tell_gathered
+            self._batch_timer = loop.call_later(
+                _ANNOUNCEMENT_BATCH_SECONDS, self._send_batched_report
             )
 
-    def _tell_gathered(self) -> None:
-        self._gathering = None
-        self._tell()
+    def _send_batched_report(self) -> None:
+        self._batch_timer = None
+        self._send_report_if_due()
 
-    def _take(self, reading: EngineReading, began: float) -> None:
+    def _handle_reading(
+        self, reading: EngineReading, started_at: float
+    ) -> None:
         if self._reading is None:
             log_event('engine_found', address=self._engine.address)
-            self._engine_answers.set()
+            self._engine_reachable.set()
         was_leaving = self._reading and self._reading.state.leaving
         self._reading = reading
         leaving = reading.state.leaving
-        self._pace.observe(reading.runs, began)
-        state = replace(reading.state, token_seconds=self._pace.seconds)
-        self._reports.take(state, began)
-        self._tell(at_once=leaving and not was_leaving)
+        self._token_pace.observe(reading.runs, started_at)
+        state = replace(reading.state, token_seconds=self._token_pace.seconds)
+        self._reports.take(state, started_at)
+        self._send_report_if_due(force=leaving and not was_leaving)
         if leaving and not was_leaving:
             log_decision(
                 'engine_leaves',
                 leaves_in=reading.leaves_in,
                 runs=len(reading.runs),
             )
-        self._mover.follow(replace(reading, state=state))
+        self._mover.update(replace(reading, state=state))
 
-    def _tell(self, at_once: bool = False) -> None:
+    def _send_report_if_due(self, force: bool = False) -> None:
         now = self._clock.monotonic()
         report = self._reports.make(self.server.peers)
-        if at_once or self._reports.is_due(report, now):
+        if force or self._reports.is_due(report, now):
             self._reports.note_told(report, now)
             self._broadcast(report)
--- a/primrosewood/enginemover.py
+++ b/primrosewood/enginemover.py
@@ -1,4 +1,4 @@
-"""Moves generations off an engine that leaves, one after another."""
+"""Moves generations off a leaving engine, one at a time."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -11,20 +11,20 @@
 from .logs import log_decision, log_event
 from .metrics import Metrics
 from .movableengine import EnginePlace, EngineReading, MovableEngine
-from .moves import EngineRun, MoveTarget, choose_target, plan_moves
+from .moves import EngineRun, MoveTarget, choose_move_target, plan_moves
 from .process import spawn
 
 __all__ = ('EngineMover',)
 
-# How long entries may take to tell where there is room.
-_ROOM_SECONDS = 0.25
-_MOST_TRIES = 3
-# After that the engine and its neighbours have told anew how full they are.
-_RETRY_SECONDS = 0.05
-# What a copy takes before any was made, and the weight of the newest one in the
-# mean.
-_COPY_SECONDS = 0.35
-_NEWEST_COPY = 0.3
+# How long to wait for an entry to report engines with free capacity.
+_CAPACITY_REPLY_TIMEOUT_SECONDS = 0.25
+_MAX_TARGETS_TRIED = 3
+# By then the engine and its possible targets have reported their load again.
+_RETRY_DELAY_SECONDS = 0.05
+# Assumed duration of a copy before the first one, and the weight of the newest
+# copy in the moving average.
+_INITIAL_COPY_SECONDS = 0.35
+_NEWEST_COPY_WEIGHT = 0.3
 
 
 class EngineMover:
@@ -32,82 +32,86 @@
 
     Parameters
     ----------
-    tell
+    broadcast
         Sends a message to all entries.
-    ask
+    ask_entries
         Sends a message to a few entries.
     """
 
     def __init__(
         self,
         engine: MovableEngine,
-        place: EnginePlace,
+        location: EnginePlace,
         clock: Clock,
         metrics: Metrics,
         random: RandomSource,
-        tell: Callable[[Message], None],
-        ask: Callable[[Message], None],
+        broadcast: Callable[[Message], None],
+        ask_entries: Callable[[Message], None],
     ) -> None:
-        """Start without a reading of the engine."""
+        """Create a mover that has no reading of the engine yet."""
         self._engine = engine
-        self._place = place
+        self._location = location
         self._clock = clock
         self._metrics = metrics
         self._random = random
-        self._tell = tell
-        self._ask = ask
-        self._ends = ExpectedEnds()
-        self._copy_seconds = _COPY_SECONDS
+        self._broadcast = broadcast
+        self._ask_entries = ask_entries
+        self._expected_ends = ExpectedEnds()
+        self._mean_copy_seconds = _INITIAL_COPY_SECONDS
         self._reading: EngineReading | None = None
-        self._room: asyncio.Future[list[MoveTarget]] | None = None
-        self._done: set[str] = set()
-        self._moving: asyncio.Task | None = None
-        self._ending = False
+        self._capacity_reply: asyncio.Future[list[MoveTarget]] | None = None
+        self._settled: set[str] = set()
+        self._move_task: asyncio.Task | None = None
+        self._stopping = False
 
     @property
     def moving(self) -> bool:
         """Whether a generation is being moved."""
-        return self._moving is not None
+        return self._move_task is not None
 
     def stop(self) -> None:
-        """Stop no further generation, as this process ends.
+        """Start no further move, because this process is about to exit.
 
-        One whose last part is being copied is waited for by who asks for
-        `moving`.  Any other runs on: cut here with nobody to tell where its
-        copy is, its stream would be lost, while the next process here may
-        still move it.
+        A generation whose last part is being copied is completed; callers
+        wait for that through `moving`. All others keep running on the engine:
+        stopping one without a process to report where its copy is would lose
+        its stream, while the next endpoint process can still move it.
         """
-        self._ending = True
+        self._stopping = True
 
-    def expect(self, name: str, tokens: int) -> None:
-        """Note how many tokens a generation may come to hold."""
-        self._ends.take(name, tokens)
+    def record_expected_tokens(self, name: str, tokens: int) -> None:
+        """Record how many tokens a generation is expected to reach."""
+        self._expected_ends.take(name, tokens)
 
-    def follow(self, reading: EngineReading) -> None:
-        """Take a new reading; begin to move when the engine leaves."""
+    def update(self, reading: EngineReading) -> None:
+        """Handle a new reading; start moves when the engine is leaving."""
         if self._reading is None:
-            self._done.clear()
+            self._settled.clear()
         self._reading = reading
-        may_move = not self._ending and not self.moving
+        may_move = not self._stopping and not self.moving
         if reading.state.leaving and reading.runs and may_move:
-            self._moving = spawn(self._move_all(), 'moves')
+            self._move_task = spawn(self._move_all(), 'moves')
 
-    def lose(self) -> None:
-        """Tell entries at once for which streams no notice will come."""
+    def handle_engine_lost(self) -> None:
+        """Report generations that can no longer be moved from a lost engine.
+
+        Entries then do not wait for a notice of a move.
+        """
         if self._reading is None:
             return
-        for run in self._left_to_move(self._reading.runs):
-            self._done.add(run.name)
-            self._tell_move(run, '', '')
+        for run in self._plan_remaining(self._reading.runs):
+            self._settled.add(run.name)
+            self._report_move(run, '', '')
         self._reading = None
 
-    def take_room(self, message: wire.RoomTold) -> None:
-        """Note where an entry knows of room."""
-        # An entry that has just started knows no engines yet; another one does.
+    def handle_capacity_reply(self, message: wire.RoomTold) -> None:
+        """Handle an entry's list of engines with free capacity."""
+        # An entry that has just started knows no engines yet; wait for another
+        # entry's reply.
         if not message.engines:
             return
-        if self._room is not None and not self._room.done():
-            self._room.set_result(
+        if self._capacity_reply is not None and not self._capacity_reply.done():
+            self._capacity_reply.set_result(
                 [
                     MoveTarget(
                         each.address, each.failure_domain, each.free_tokens
@@ -117,102 +121,105 @@
             )
 
     async def _move_all(self) -> None:
-        """Move what runs here, one after another, until nothing is left."""
+        """Move generations one at a time until none is left."""
         try:
-            while self._reading is not None and not self._ending:
-                runs = self._left_to_move(self._reading.runs)
+            while self._reading is not None and not self._stopping:
+                runs = self._plan_remaining(self._reading.runs)
                 if not runs:
                     return
-                # Other engines leave at the same time and fill the room.
-                await self._move(runs[0], await self._ask_room())
+                # Ask before each move: other engines that leave at the same
+                # time take up free capacity too.
+                await self._move(runs[0], await self._request_free_capacity())
         finally:
-            self._moving = None
+            self._move_task = None
 
-    def _target(
+    def _choose_target(
         self, run: EngineRun, targets: Sequence[MoveTarget]
     ) -> MoveTarget | None:
-        return choose_target(
+        return choose_move_target(
             run,
             targets,
-            self._place.failure_domain,
+            self._location.failure_domain,
             draw=self._random.random(),
-            hurried=self._is_hurried(),
+            short_notice=self._is_short_of_time(),
         )
 
-    def _is_hurried(self) -> bool:
-        """Tell whether the notice is too short for what is left."""
+    def _is_short_of_time(self) -> bool:
+        """Return whether the notice is too short for the remaining moves."""
         reading = self._reading
         if reading is None or reading.leaves_in is None:
             return False
-        left = len(self._unsettled(reading.runs))
-        return left * self._copy_seconds > reading.leaves_in
+        remaining = len(self._unsettled(reading.runs))
+        return remaining * self._mean_copy_seconds > reading.leaves_in
 
     def _unsettled(self, runs: Sequence[EngineRun]) -> list[EngineRun]:
-        return [run for run in runs if run.name not in self._done]
+        return [run for run in runs if run.name not in self._settled]
 
-    def _left_to_move(self, runs: Sequence[EngineRun]) -> list[EngineRun]:
-        left = self._unsettled(runs)
+    def _plan_remaining(self, runs: Sequence[EngineRun]) -> list[EngineRun]:
+        remaining = self._unsettled(runs)
         reading = self._reading
-        ending = self._ends.within(
-            left, reading.leaves_in, reading.state.token_seconds
+        ending = self._expected_ends.within(
+            remaining, reading.leaves_in, reading.state.token_seconds
         )
-        return plan_moves(left, ending)
+        return plan_moves(remaining, ending)
 
-    async def _ask_room(self) -> list[MoveTarget]:
-        self._room = asyncio.get_running_loop().create_future()
-        ask = wire.RoomAsk(self._place.service)
-        self._ask(ask)
+    async def _request_free_capacity(self) -> list[MoveTarget]:
+        self._capacity_reply = asyncio.get_running_loop().create_future()
+        query = wire.RoomAsk(self._location.service)
+        self._ask_entries(query)
         try:
-            async with asyncio.timeout(_ROOM_SECONDS):
-                return await self._room
+            async with asyncio.timeout(_CAPACITY_REPLY_TIMEOUT_SECONDS):
+                return await self._capacity_reply
         except TimeoutError:
             log_event('no_entry_told_room', 'WARNING')
             return []
         finally:
-            self._room = None
+            self._capacity_reply = None
 
     async def _move(self, run: EngineRun, targets: list[MoveTarget]) -> None:
-        """Move one generation.
+        """Try to move one generation to one of the targets.
 
-        One that could not be moved stays to be tried again: it runs on until
-        its engine goes.
+        If all attempts fail the generation remains in the plan and is tried
+        again, as it runs on until its engine is gone.
         """
-        for _ in range(_MOST_TRIES):
-            target = self._target(run, targets)
-            if target is None or self._reading is None or self._ending:
+        for _ in range(_MAX_TARGETS_TRIED):
+            target = self._choose_target(run, targets)
+            if target is None or self._reading is None or self._stopping:
                 break
             if await self._move_to(run, target):
                 return
-            # Its room was told wrong, or it cannot be reached.
+            # Its reported capacity was outdated, or it is unreachable.
             targets = [each for each in targets if each is not target]
-        await asyncio.sleep(_RETRY_SECONDS)
+        await asyncio.sleep(_RETRY_DELAY_SECONDS)
 
     async def _move_to(self, run: EngineRun, target: MoveTarget) -> bool:
-        """Tell whether a generation is settled: moved, or complete."""
+        """Return whether the generation was moved or is already complete."""
         try:
             handle = await self._copy(run, target.address)
         except (NotRunError, BackendCutError) as error:
-            self._note_failure(run, target, error)
-            settled = _has_ended(error)
+            self._log_failure(run, target, error)
+            settled = _is_already_complete(error)
         else:
-            self._tell_move(run, target.address, handle)
+            self._report_move(run, target.address, handle)
             settled = True
         if settled:
-            self._done.add(run.name)
+            self._settled.add(run.name)
         return settled
 
     async def _copy(self, run: EngineRun, target: str) -> str:
         started = self._clock.monotonic()
         await self._engine.copy(run, target, last=False)
-        if self._ending:
+        if self._stopping:
             raise NotRunError(ErrorKind.leaving)
         handle = await self._engine.copy(run, target, last=True)
-        took = self._clock.monotonic() - started
-        self._copy_seconds += (took - self._copy_seconds) * _NEWEST_COPY
-        self._metrics.record('move', took)
+        copy_seconds = self._clock.monotonic() - started
+        self._mean_copy_seconds += (
+            copy_seconds - self._mean_copy_seconds
+        ) * _NEWEST_COPY_WEIGHT
+        self._metrics.record('move', copy_seconds)
         return handle
 
-    def _tell_move(self, run: EngineRun, target: str, handle: str) -> None:
+    def _report_move(self, run: EngineRun, target: str, handle: str) -> None:
         self._metrics.count('moves', 'moved' if handle else 'stays')
         log_decision(
             'moved' if handle else 'not_moved',
@@ -221,7 +228,7 @@
             tokens=run.tokens,
             events=run.events,
         )
-        self._tell(
+        self._broadcast(
             wire.RunMoved(
                 attempt=run.name,
                 source=self._engine.address,
@@ -230,7 +237,7 @@
             )
         )
 
-    def _note_failure(
+    def _log_failure(
         self, run: EngineRun, target: MoveTarget, error: Exception
     ) -> None:
         log_event(
@@ -244,7 +251,7 @@
         )
 
 
-def _has_ended(error: Exception) -> bool:
-    """Tell whether a generation needs no move, as it is complete."""
+def _is_already_complete(error: Exception) -> bool:
+    """Return whether an error says that the generation is complete."""
     kind = getattr(error, 'kind', None)
     return kind is ErrorKind.answer_expired
--- a/primrosewood/expectedends.py
+++ b/primrosewood/expectedends.py
@@ -1,4 +1,4 @@
-"""Which generations of an engine are expected to end soon."""
+"""Estimates which generations of an engine end soon by themselves."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -7,24 +7,24 @@
 
 __all__ = ('ExpectedEnds',)
 
-_MOST_KNOWN = 1024
-# Guesses of lengths are right in the median only: half of the time that is
-# left must be enough by them.
-_SURE_SHARE = 0.5
+_MAX_TRACKED = 1024
+# Expected lengths are medians, so a generation counts as ending only if it is
+# expected to need at most this share of the remaining time.
+_USABLE_TIME_SHARE = 0.5
 
 
 class ExpectedEnds:
-    """Keeps how long generations may become, as entries guess."""
+    """Keeps the lengths that entries expect of their generations."""
 
     def __init__(self) -> None:
-        """Start without guesses."""
-        self._whole: OrderedDict[str, int] = OrderedDict()
+        """Create an estimator without expected lengths."""
+        self._expected_tokens: OrderedDict[str, int] = OrderedDict()
 
     def take(self, name: str, whole_tokens: int) -> None:
-        """Note the tokens of a generation's prompt and expected answer."""
-        self._whole[name] = whole_tokens
-        if len(self._whole) > _MOST_KNOWN:
-            self._whole.popitem(last=False)
+        """Record the tokens of a generation's prompt and expected answer."""
+        self._expected_tokens[name] = whole_tokens
+        if len(self._expected_tokens) > _MAX_TRACKED:
+            self._expected_tokens.popitem(last=False)
 
     def within(
         self,
@@ -32,22 +32,24 @@
         seconds: float | None,
         token_seconds: float,
     ) -> frozenset[str]:
-        """Return the names of those that end by themselves in some time.
+        """Return the names of generations that end within some time.
 
         Parameters
         ----------
         runs
-            Generations that have made an event.
+            Generations that have produced at least one event.
         seconds
-            The time, None when it is not known.
+            Remaining time, None when it is unknown.
         token_seconds
-            What a token takes; 0 when it is not known.
+            Time per generated token; 0 when it is unknown.
         """
         if seconds is None or not token_seconds:
             return frozenset()
-        most = seconds * _SURE_SHARE / token_seconds
+        max_tokens_left = seconds * _USABLE_TIME_SHARE / token_seconds
         return frozenset(
             run.name
             for run in runs
-            if 0 < self._whole.get(run.name, 0) - run.tokens <= most
+            if 0
+            < self._expected_tokens.get(run.name, 0) - run.tokens
+            <= max_tokens_left
         )
--- a/primrosewood/movableengine.py
+++ b/primrosewood/movableengine.py
@@ -1,4 +1,4 @@
-"""An engine beside a process of ours, and what it tells there."""
+"""Interface to the engine that an endpoint process follows."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReading:
-    """An engine's report and what runs there.
+    """An engine's state and running generations at one time.
 
     Attributes
     ----------
     leaves_in
-        Seconds until it goes, None when it does not say.
+        Seconds until the engine is gone, None when it does not say.
     """
 
     state: EngineState
@@ -25,14 +25,14 @@
 
 
 class MovableEngine(Protocol):
-    """The engine beside this process."""
+    """The engine on this process's VM."""
 
     @property
     def address(self) -> str:
-        """Address as ``host:port``."""
+        """Address of the engine as ``host:port``."""
 
     async def read(self) -> EngineReading:
-        """Return the report.
+        """Read the current state and the running generations.
 
         Raises
         ------
@@ -41,7 +41,7 @@
         """
 
     async def identify(self) -> str:
-        """Return the engine's name for this start of it.
+        """Return the engine's name, which changes with each of its starts.
 
         Raises
         ------
@@ -50,17 +50,19 @@
         """
 
     async def copy(self, run: EngineRun, target: str, last: bool) -> str:
-        """Copy a generation to another engine and return the handle.
+        """Copy a generation to another engine and return the copy's handle.
 
         Parameters
         ----------
         last
-            Whether to stop it here, so that it goes on there.
+            Whether to stop the generation here, so that it continues on the
+            target.
 
         Raises
         ------
         NotRunError
-            It does not run here any more, or the target has no room.
+            The generation no longer runs here, or the target has no free
+            capacity.
         BackendCutError
             The engine does not answer.
         """
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EnginePlace:
-    """Where the engine stands."""
+    """Service and failure domain of an engine."""
 
     service: str
     failure_domain: str
--- a/primrosewood/moves.py
+++ b/primrosewood/moves.py
@@ -1,10 +1,10 @@
-"""Moves of running generations off an engine that is about to leave.
+"""Planning of moves of running generations off a leaving engine.
 
-One process, the one beside the engine, plans and orders all moves of that
-engine.  Entries that move their own streams each for itself queue on the same
-link, and the last part of one stream waits behind whole copies of others:
-pauses of 0.4 to 0.65 s.  One after another, a stream pauses for the time that
-its last tokens take, 4 to 20 ms.
+The endpoint process of an engine plans and orders all of its moves. If each
+entry moved its own streams, the copies would queue on the engine's network
+link, and the last part of one stream would wait behind full copies of others,
+which pauses streams for 0.4 to 0.65 s. Moved one at a time, a stream pauses
+only while its last tokens are copied, 4 to 20 ms.
 """
 
 import asyncio
@@ -16,18 +16,19 @@
     'MoveNotice',
     'MoveTarget',
     'NoticeBoard',
-    'choose_target',
+    'choose_move_target',
     'plan_moves',
 )
 
-# A copy needs room for what the generation adds while it is copied, and an
-# engine that is filled to the brim preempts.
-_HEADROOM = 1.1
-# Copying between failure domains takes twice as long (0.47 s in place of 0.24 s
-# for 4,300 tokens), which halves how many streams a notice saves; a near engine
-# is preferred until a far one has this many tokens more room.
-_DISTANCE_TOKENS = 12000
-_MOST_NOTICES = 512
+# A target needs space for the tokens that are generated during the copy, and an
+# engine without free memory preempts.
+_COPY_HEADROOM_FACTOR = 1.1
+# Copying to another failure domain takes twice as long (0.47 s instead of
+# 0.24 s for 4,300 tokens), so half as many streams can be moved within the
+# notice. An engine in the same domain is preferred until one elsewhere has this
+# many more free tokens.
+_SAME_DOMAIN_BONUS_TOKENS = 12000
+_MAX_NOTICES = 512
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,9 +38,9 @@
     Attributes
     ----------
     tokens
-        Memory that it holds.
+        Tokens that it holds in the engine's memory.
     events
-        Events that it has made.
+        Events that it has produced.
     """
 
     name: str
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveTarget:
-    """An engine that may take generations in."""
+    """An engine that may accept moved generations."""
 
     address: str
     failure_domain: str
@@ -58,14 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveNotice:
-    """Where a generation went; an empty handle says that it stays.
+    """Where a generation was moved; an empty handle means that it was not.
 
     Attributes
     ----------
     source, target
         Engines as ``host:port``.
     handle
-        The source's name for the copy.
+        Identifies the copy; issued by the source.
     """
 
     name: str
@@ -79,106 +80,113 @@
 ) -> list[EngineRun]:
     """Return the generations in the order in which to move them.
 
-    Notice is short and a link carries one copy at a time, so small ones go
-    first: that way the most streams are saved.
+    The notice is short and copies are made one at a time, so small generations
+    go first: that saves the most streams.
 
     Parameters
     ----------
     runs
-        What is still to be moved.
+        Generations that are still to be moved.
     ending
-        Names of those that are expected to end here before the engine goes;
-        their turn comes last.
+        Names of generations that are expected to end by themselves before the
+        engine is gone; they come last.
     """
     return sorted(
         runs, key=lambda run: (run.name in ending, run.tokens, run.name)
     )
 
 
-def choose_target(
+def choose_move_target(
     run: EngineRun,
     targets: Sequence[MoveTarget],
     failure_domain: str,
     draw: float = 0,
-    hurried: bool = False,
+    short_notice: bool = False,
 ) -> MoveTarget | None:
-    """Return an engine with the most room, None where none has enough.
+    """Return one of the engines with the most free memory.
+
+    Returns None if no engine has enough.
 
     Parameters
     ----------
     run
-        What is to be moved.
+        The generation to move.
     targets
-        Engines with their room.
+        Engines with their free memory.
     failure_domain
-        Where the generation runs now.
+        Failure domain in which the generation runs now.
     draw
-        A number in [0, 1).  Engines that leave at the same moment see the
-        same room; those that are alike but for one generation are drawn, so
-        that not all copies queue for one link.
-    hurried
-        Whether the notice is too short for all copies; then a near engine is
-        taken however full it is.
+        A random number in [0, 1). Engines that leave at the same time see the
+        same free memory; drawing among targets that differ by less than this
+        generation keeps their copies from queueing on one target's link.
+    short_notice
+        Whether the notice is too short for all copies; then engines in the
+        same failure domain are preferred however full they are.
     """
     fitting = [
         target
         for target in targets
-        if target.free_tokens >= run.tokens * _HEADROOM
+        if target.free_tokens >= run.tokens * _COPY_HEADROOM_FACTOR
     ]
     if not fitting:
         return None
-    near = [each for each in fitting if each.failure_domain == failure_domain]
-    if hurried and near:
-        fitting = near
-    worth = {
+    same_domain = [
+        each for each in fitting if each.failure_domain == failure_domain
+    ]
+    if short_notice and same_domain:
+        fitting = same_domain
+    scores = {
         target.address: target.free_tokens
-        + (target.failure_domain == failure_domain) * _DISTANCE_TOKENS
+        + (target.failure_domain == failure_domain) * _SAME_DOMAIN_BONUS_TOKENS
         for target in fitting
     }
-    least = max(worth.values()) - run.tokens
-    alike = [target for target in fitting if worth[target.address] >= least]
-    alike.sort(key=lambda target: -worth[target.address])
-    return alike[int(draw * len(alike))]
+    min_score = max(scores.values()) - run.tokens
+    candidates = [
+        target for target in fitting if scores[target.address] >= min_score
+    ]
+    candidates.sort(key=lambda target: -scores[target.address])
+    return candidates[int(draw * len(candidates))]
 
 
 class NoticeBoard:
-    """Notices of moves at an entry, matched to streams that were cut.
+    """An entry's notices of moves, matched to interrupted streams.
 
-    A notice and the cut that it explains come over different connections, in
-    either order.
+    A notice and the interruption that it explains arrive over different
+    connections, in either order.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create a collection without notices."""
         self._notices: dict[str, MoveNotice] = {}
-        self._waiting: dict[str, asyncio.Future[MoveNotice]] = {}
+        self._waiters: dict[str, asyncio.Future[MoveNotice]] = {}
 
     def post(self, notice: MoveNotice) -> None:
-        """Keep a notice, and wake who waits for it."""
-        waiter = self._waiting.pop(notice.name, None)
+        """Pass a notice to its waiter, or keep it until one comes."""
+        waiter = self._waiters.pop(notice.name, None)
         if waiter is not None and not waiter.done():
             waiter.set_result(notice)
             return
         self._notices[notice.name] = notice
-        # Every entry hears of all moves and most are of other entries' calls.
-        while len(self._notices) > _MOST_NOTICES:
+        # Every entry receives notices of all moves, mostly of calls of other
+        # entries, which nothing here waits for.
+        while len(self._notices) > _MAX_NOTICES:
             self._notices.pop(next(iter(self._notices)))
 
     def forget(self, name: str) -> None:
-        """Drop an older notice, so that it cannot explain a later cut."""
+        """Drop an outdated notice, so that no later interruption uses it."""
         self._notices.pop(name, None)
 
     async def wait(self, name: str, seconds: float) -> MoveNotice | None:
-        """Return the notice of a stream, None when none comes in time."""
-        known = self._notices.pop(name, None)
-        if known is not None:
-            return known
+        """Return the notice of a stream, None if none arrives in time."""
+        notice = self._notices.pop(name, None)
+        if notice is not None:
+            return notice
         waiter = asyncio.get_running_loop().create_future()
-        self._waiting[name] = waiter
+        self._waiters[name] = waiter
         try:
             async with asyncio.timeout(seconds):
                 return await waiter
         except TimeoutError:
             return None
         finally:
-            self._waiting.pop(name, None)
+            self._waiters.pop(name, None)
--- a/tests/test_enginekeeper.py
+++ b/tests/test_enginekeeper.py
@@ -1,4 +1,4 @@
-"""The process beside an engine, with an engine that is scripted."""
+"""Tests of EngineKeeper with a scripted engine and fake links to entries."""
 
 import asyncio
 import unittest
@@ -14,15 +14,15 @@
 from primrosewood.movableengine import EnginePlace, EngineReading
 from primrosewood.moves import EngineRun
 
-ROOM = wire.RoomTold([wire.EngineRoom('b:1', 'd1', 20_000)])
-NO_ROOM = wire.RoomTold([])
+CAPACITY_REPLY = wire.RoomTold([wire.EngineRoom('b:1', 'd1', 20_000)])
+EMPTY_REPLY = wire.RoomTold([])
 
 
 class FakeServer:
-    """Keeps what entries would hear, and answers questions for room."""
+    """Records messages to entries, and answers queries for free capacity."""
 
     def __init__(self):
-        self.told = []
+        self.broadcasts = []
         self.answers = []
         self.keeper = None
         self.peers = 2
@@ -31,25 +31,25 @@
     def send_to(self, peer, message):
         self.sent.append((peer, message))
 
-    def broadcast(self, message, but=None):
-        self.told.append(message)
+    def broadcast(self, message, exclude=None):
+        self.broadcasts.append(message)
         if isinstance(message, wire.RoomAsk):
             for answer in self.answers:
                 self.keeper.handle(answer, None)
 
-    def send_to_some(self, message, most, but=None):
+    def send_to_some(self, message, limit, exclude=None):
         self.broadcast(message)
 
     def moves(self):
         return [
             (each.attempt, each.target)
-            for each in self.told
+            for each in self.broadcasts
             if isinstance(each, wire.RunMoved)
         ]
 
 
 class FakeEngine:
-    """An engine with some runs."""
+    """An engine with scripted generations and failures."""
 
     address = 'a:1'
 
@@ -80,10 +80,12 @@
 
 
 class EngineKeeperTest(unittest.IsolatedAsyncioTestCase):
-    """What it tells, and what it moves."""
+    """Reports, forwarded messages and moves."""
 
     async def asyncSetUp(self):
-        patched = mock.patch('primrosewood.enginekeeper._NAME_SECONDS', 0.02)
+        patched = mock.patch(
+            'primrosewood.enginekeeper._IDENTIFY_RETRY_SECONDS', 0.02
+        )
         patched.start()
         self.addCleanup(patched.stop)
         self.engine = FakeEngine(
@@ -107,13 +109,14 @@
             while not condition():
                 await asyncio.sleep(0.01)
 
-    async def test_leaving_engine_is_emptied(self):
-        """An engine is reclaimed with two seconds of notice.
+    async def test_generations_are_moved_off_a_leaving_engine(self):
+        """An engine leaves with two seconds of notice.
 
-        Each stream is copied while it runs, then stopped and told, one after
-        another; entries hear of the leave before the first move.
+        Streams are moved one at a time: each is copied while it runs, then
+        stopped, and the move is reported. Entries learn that the engine is
+        leaving before the first move.
         """
-        self.server.answers = [ROOM]
+        self.server.answers = [CAPACITY_REPLY]
         self.engine.leaving = True
         await self.wait_for(lambda: len(self.server.moves()) == 2)
         self.assertEqual(
@@ -130,36 +133,42 @@
         )
         reports = [
             each
-            for each in self.server.told
+            for each in self.server.broadcasts
             if isinstance(each, wire.EngineReport)
         ]
-        first_move = self.server.told.index(
-            next(e for e in self.server.told if isinstance(e, wire.RunMoved))
+        first_move = self.server.broadcasts.index(
+            next(
+                e
+                for e in self.server.broadcasts
+                if isinstance(e, wire.RunMoved)
+            )
         )
         leaving = next(each for each in reports if each.leaving)
-        self.assertLess(self.server.told.index(leaving), first_move)
+        self.assertLess(self.server.broadcasts.index(leaving), first_move)
 
-    async def test_entry_that_knows_no_engines_yet_does_not_decide(self):
-        """An entry that has just started answers first, with no room.
+    async def test_reply_of_an_entry_without_engines_is_ignored(self):
+        """An entry that has just started replies first, without engines.
 
-        All streams of the engine were given up two seconds before it went.
+        Guards against taking its reply as final, which gave up all streams two
+        seconds before the engine was gone.
         """
-        self.server.answers = [NO_ROOM, ROOM]
+        self.server.answers = [EMPTY_REPLY, CAPACITY_REPLY]
         self.engine.leaving = True
         await self.wait_for(lambda: len(self.server.moves()) == 2)
         self.assertNotIn('', [target for _, target in self.server.moves()])
 
-    async def test_room_that_comes_later_is_used(self):
+    async def test_capacity_reported_later_is_used(self):
         self.engine.leaving = True
         await self.wait_for(
             lambda: any(
-                isinstance(each, wire.RoomAsk) for each in self.server.told
+                isinstance(each, wire.RoomAsk)
+                for each in self.server.broadcasts
             )
         )
-        self.server.answers = [ROOM]
+        self.server.answers = [CAPACITY_REPLY]
         await self.wait_for(lambda: len(self.server.moves()) == 2)
 
-    async def test_target_that_refuses(self):
+    async def test_next_target_is_tried_after_a_refusal(self):
         self.server.answers = [
             wire.RoomTold(
                 [
@@ -173,60 +182,63 @@
         await self.wait_for(lambda: len(self.server.moves()) == 2)
         self.assertIn(('small', 'b:1'), self.server.moves())
 
-    async def test_room_is_asked_for_each_generation(self):
-        """Other engines leave at the same time and fill the room first.
+    async def test_capacity_is_queried_for_each_generation(self):
+        """Other engines leave at the same time and take up free capacity.
 
-        By a list from the beginning of the leave copies went to engines that
-        were full by then, and were refused one after another.
+        Guards against using one list for all moves: copies then went to
+        engines that had become full, and were refused one after another.
         """
-        self.server.answers = [ROOM]
+        self.server.answers = [CAPACITY_REPLY]
         self.engine.leaving = True
         await self.wait_for(lambda: len(self.server.moves()) == 2)
         asked = [
-            each for each in self.server.told if isinstance(each, wire.RoomAsk)
+            each
+            for each in self.server.broadcasts
+            if isinstance(each, wire.RoomAsk)
         ]
         self.assertEqual(2, len(asked))
 
-    async def test_announced_call_is_told_at_once(self):
-        """Two entries choose within the time between two readings.
+    async def test_announced_call_is_reported_at_once(self):
+        """Two entries select an engine between two polls of its report.
 
-        The second one must see what the first has sent.
+        The second entry must see the call that the first one has sent.
         """
-        await self.wait_for(lambda: self.server.told)
-        self.server.told.clear()
+        await self.wait_for(lambda: self.server.broadcasts)
+        self.server.broadcasts.clear()
         self.keeper.handle(wire.CallPlaced('ab', 3000, 4000), None)
-        await self.wait_for(lambda: self.server.told)
-        self.assertEqual(3000, self.server.told[0].unread_tokens)
+        await self.wait_for(lambda: self.server.broadcasts)
+        self.assertEqual(3000, self.server.broadcasts[0].unread_tokens)
 
-    async def test_generation_that_ends_by_itself_is_moved_last(self):
-        self.server.answers = [ROOM]
+    async def test_generation_about_to_complete_is_moved_last(self):
+        self.server.answers = [CAPACITY_REPLY]
         self.keeper.handle(wire.CallPlaced('small', 0, 2010), None)
-        self.keeper._pace.seconds = 0.01
+        self.keeper._token_pace.seconds = 0.01
         self.engine.leaving = True
         await self.wait_for(lambda: len(self.server.moves()) == 2)
         self.assertEqual(
             ['big', 'small'], [name for name, _ in self.server.moves()]
         )
 
-    async def test_refused_generation_is_tried_again(self):
-        """Every engine refuses a copy, and room comes up a moment later.
+    async def test_refused_move_is_retried(self):
+        """Every engine refuses a copy, and capacity becomes free shortly after.
 
-        The generation still runs on the leaving engine; given up after the
-        first refusals its stream was lost with a second of notice to spare.
+        The generation still runs on the leaving engine. Guards against giving
+        it up after the first refusals, which lost its stream with a second of
+        notice left.
         """
-        self.server.answers = [ROOM]
+        self.server.answers = [CAPACITY_REPLY]
         self.engine.failures = [NotRunError(ErrorKind.overloaded)] * 5
         self.engine.leaving = True
         await self.wait_for(lambda: len(self.server.moves()) == 2)
         self.assertNotIn('', [target for _, target in self.server.moves()])
 
-    async def test_engine_goes_in_the_middle_of_a_copy(self):
-        """An engine goes while its last stream is being copied.
+    async def test_engine_is_lost_during_a_copy(self):
+        """An engine is lost while its last stream is being copied.
 
-        The caller was told a second later, when its entry had stopped waiting
-        for the notice of a move.
+        Guards against a late report: it came a second later, when the entry
+        had already stopped waiting for the notice of a move.
         """
-        self.server.answers = [ROOM]
+        self.server.answers = [CAPACITY_REPLY]
         self.engine.failures = [BackendCutError('gone')] * 9
         self.engine.leaving = True
         await self.wait_for(lambda: not self.engine.failures[:-1])
@@ -235,47 +247,48 @@
             lambda: set(self.server.moves()) == {('small', ''), ('big', '')}
         )
 
-    async def test_generation_that_has_ended_needs_no_move(self):
-        self.server.answers = [ROOM]
+    async def test_completed_generation_is_not_moved(self):
+        self.server.answers = [CAPACITY_REPLY]
         self.engine.failures = [NotRunError(ErrorKind.answer_expired)]
         self.engine.leaving = True
         await self.wait_for(lambda: ('big', 'b:1') in self.server.moves())
         names = [name for name, _ in self.server.moves()]
         self.assertNotIn('small', names)
 
-    async def test_streams_of_an_engine_that_is_gone(self):
-        """An engine goes before its streams were moved.
+    async def test_streams_of_a_lost_engine_are_reported(self):
+        """An engine is lost before its streams are moved.
 
-        Entries hear at once that no notice will come, and that it takes no
-        new work; silence would look like the loss of this process.
+        Entries learn at once that the streams are not moved and that the
+        engine gets no new calls; without a report they would assume that the
+        endpoint process is lost.
         """
         await self.wait_for(lambda: self.keeper.found is not None)
         self.engine.gone = True
         await self.wait_for(lambda: len(self.server.moves()) == 2)
         self.assertEqual({('big', ''), ('small', '')}, set(self.server.moves()))
         await self.wait_for(
-            lambda: getattr(self.server.told[-1], 'leaving', False)
+            lambda: getattr(self.server.broadcasts[-1], 'leaving', False)
         )
         self.assertFalse(self.keeper.needed)
 
-    async def test_full_engine_that_does_not_say_its_name(self):
-        """An engine starts again and fills up at once.
+    async def test_full_engine_that_cannot_be_identified(self):
+        """An engine restarts and fills up at once.
 
-        Its health answer waits for a slot like any request. Its reports come
-        all the same: it must not be taken for gone, which would turn all new
-        work away from it.
+        Its health check waits for a slot like any request, while its reports
+        still arrive. It must not be treated as lost, which would keep all new
+        calls away from it.
         """
         await self.lose_engine()
 
-        async def wait_for_a_slot():
+        async def block_until_slot_is_free():
             await asyncio.sleep(10)
 
-        self.engine.identify = wait_for_a_slot
+        self.engine.identify = block_until_slot_is_free
         self.engine.gone = False
         for _ in range(3):
-            self.server.told.clear()
-            await self.wait_for(lambda: self.server.told)
-        self.assertFalse(self.server.told[-1].leaving)
+            self.server.broadcasts.clear()
+            await self.wait_for(lambda: self.server.broadcasts)
+        self.assertFalse(self.server.broadcasts[-1].leaving)
 
     async def lose_engine(self):
         await self.wait_for(lambda: self.keeper.found is not None)
@@ -283,7 +296,7 @@
         self.engine.gone = True
         await self.wait_for(lambda: self.keeper.found is None)
 
-    async def test_name_that_comes_later(self):
+    async def test_identification_is_retried(self):
         await self.lose_engine()
         names = [BackendCutError('busy'), BackendCutError('busy')]
 
@@ -297,14 +310,16 @@
         await self.wait_for(lambda: self.keeper.found is not None)
         self.assertEqual('i-a', self.keeper.found.name)
 
-    async def test_name_is_asked_for_as_soon_as_the_engine_answers(self):
-        """An engine starts while the key-value service is away.
+    async def test_engine_is_identified_as_soon_as_it_answers(self):
+        """An engine starts while the key-value service is down.
 
-        Entries hear of it from here alone; asked for by a timer, its name came
-        up to a second later, and for that time a leaving engine beside it had
-        nowhere to move its streams.
+        Entries learn of it only from its endpoint process. Guards against
+        identifying it by a timer, which took up to a second, during which a
+        leaving engine had no target for its streams.
         """
-        with mock.patch('primrosewood.enginekeeper._NAME_SECONDS', 60):
+        with mock.patch(
+            'primrosewood.enginekeeper._IDENTIFY_RETRY_SECONDS', 60
+        ):
             await self.lose_engine()
             await asyncio.sleep(0.1)
             waiting = asyncio.create_task(self.keeper.wait_named(5))
@@ -313,28 +328,28 @@
                 await waiting
         self.assertEqual('i-a', self.keeper.found.name)
 
-    async def test_entry_that_connects_is_told_the_last_report(self):
-        """An entry links to an engine that it has just heard of.
+    async def test_last_report_is_kept_for_new_entries(self):
+        """An entry connects to the endpoint process of a new engine.
 
-        Without a report the engine counts as having no room for streams that
-        leave another one; the next report may be half a second away.
+        Until it has a report the entry offers no capacity of that engine for
+        moves, and the next regular report may be half a second away.
         """
-        await self.wait_for(lambda: self.server.told)
+        await self.wait_for(lambda: self.server.broadcasts)
         self.assertIsInstance(self.keeper.last_report, wire.EngineReport)
 
-    async def test_what_entries_ask_each_other_is_passed_on(self):
-        """Entries have no links to each other; one asks what others read."""
-        ask = wire.PairsAsk('entry-2', 7)
-        self.keeper.handle(ask, 'link of entry-2')
-        self.assertIn(ask, self.server.told)
-        told = wire.PairsTold('entry-2', 7, 9, [])
-        self.keeper.handle(told, 'link of entry-1')
-        self.assertEqual([('entry-2', told)], self.server.sent)
-        news = wire.PairsTold('', 7, 9, [])
-        self.keeper.handle(news, 'link of entry-1')
-        self.assertIn(news, self.server.told)
-
-    async def test_another_entrys_finding_is_passed_on(self):
+    async def test_messages_between_entries_are_forwarded(self):
+        """Entries have no links to each other; messages are forwarded."""
+        query = wire.PairsAsk('entry-2', 7)
+        self.keeper.handle(query, 'link of entry-2')
+        self.assertIn(query, self.server.broadcasts)
+        answer = wire.PairsTold('entry-2', 7, 9, [])
+        self.keeper.handle(answer, 'link of entry-1')
+        self.assertEqual([('entry-2', answer)], self.server.sent)
+        update = wire.PairsTold('', 7, 9, [])
+        self.keeper.handle(update, 'link of entry-1')
+        self.assertIn(update, self.server.broadcasts)
+
+    async def test_engine_announced_by_an_entry_is_forwarded(self):
         found = wire.EngineFound('i-b', 'b:1', 's', 'd1')
         self.keeper.handle(found, None)
-        self.assertIn(found, self.server.told)
+        self.assertIn(found, self.server.broadcasts)
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,8 +1,8 @@
-"""Moves off a leaving engine, planned without any I/O.
+"""Tests of the planning of moves off a leaving engine.
 
-The pattern: an engine with up to eight streams of 2,000 to 5,000 tokens has
-1.5 to 2.1 s left; a copy of 4,300 tokens takes 0.24 s inside a failure domain
-and 0.47 s to another one, one after the other.
+The assumed load: an engine with up to eight streams of 2,000 to 5,000 tokens
+has 1.5 to 2.1 s left. Copies are made one at a time; a copy of 4,300 tokens
+takes 0.24 s within a failure domain and 0.47 s to another one.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
     MoveNotice,
     MoveTarget,
     NoticeBoard,
-    choose_target,
+    choose_move_target,
     plan_moves,
 )
 
@@ -21,75 +21,79 @@
 
 
 class PlanTest(unittest.TestCase):
-    """Order and targets."""
+    """Order of moves and selection of targets."""
 
-    def test_small_ones_first(self):
-        """Eight streams and time for five copies: most are to be saved."""
+    def test_small_generations_come_first(self):
+        """With time for five copies of eight, most streams are to be saved."""
         runs = [EngineRun(str(size), size, 1) for size in (5000, 2000, 3000)]
         self.assertEqual(
             ['2000', '3000', '5000'], [run.name for run in plan_moves(runs)]
         )
 
-    def test_those_that_end_by_themselves_come_last(self):
-        """Half of the copies were of short answers that ended meanwhile.
+    def test_generations_that_complete_by_themselves_come_last(self):
+        """Guards against copies of short generations that complete anyway.
 
-        The long ones behind them were cut when their engine went.
+        Half of the copies were of these, and the long generations behind them
+        were lost with their engine.
         """
         runs = [EngineRun('short', 2000, 1), EngineRun('long', 4000, 50)]
         plan = plan_moves(runs, {'short'})
         self.assertEqual(['long', 'short'], [run.name for run in plan])
 
     def test_engines_that_leave_together_spread_their_copies(self):
-        """Four of 25 engines leave at the same moment and see the same room.
+        """Four of 25 engines leave at the same time and see the same targets.
 
-        All copied to the one with the most, and queued for its link.
+        Guards against all of them copying to the target with the most free
+        memory, where the copies queued on its link.
         """
         targets = [
             MoveTarget(f't{n}', 'd1', 20_000 - n * 500) for n in range(6)
         ]
         targets.append(MoveTarget('full', 'd1', 6000))
         chosen = {
-            choose_target(RUN, targets, 'd1', draw / 10).address
+            choose_move_target(RUN, targets, 'd1', draw / 10).address
             for draw in range(10)
         }
         self.assertGreaterEqual(len(chosen), 4)
         self.assertNotIn('full', chosen)
 
-    def test_near_engine_unless_it_is_much_fuller(self):
+    def test_same_domain_is_preferred_unless_much_fuller(self):
         near = MoveTarget('near', 'd1', 8000)
         far = MoveTarget('far', 'd2', 15_000)
-        self.assertEqual('near', choose_target(RUN, [near, far], 'd1').address)
+        self.assertEqual(
+            'near', choose_move_target(RUN, [near, far], 'd1').address
+        )
         farther = MoveTarget('far', 'd2', 25_000)
         self.assertEqual(
-            'far', choose_target(RUN, [near, farther], 'd1').address
+            'far', choose_move_target(RUN, [near, farther], 'd1').address
         )
 
-    def test_near_engine_when_the_notice_is_short(self):
-        """Seven streams, 1.5 s, and a copy to another domain takes 0.5 s."""
+    def test_same_domain_is_preferred_on_short_notice(self):
+        """Seven streams, 1.5 s of notice, 0.5 s a copy to another domain."""
         near = MoveTarget('near', 'd1', 5000)
         far = MoveTarget('far', 'd2', 25_000)
-        chosen = choose_target(RUN, [near, far], 'd1', hurried=True)
+        chosen = choose_move_target(RUN, [near, far], 'd1', short_notice=True)
         self.assertEqual('near', chosen.address)
-        chosen = choose_target(RUN, [far], 'd1', hurried=True)
+        chosen = choose_move_target(RUN, [far], 'd1', short_notice=True)
         self.assertEqual('far', chosen.address)
 
-    def test_no_room(self):
+    def test_no_target_has_enough_memory(self):
         tight = MoveTarget('near', 'd1', 4100)
-        self.assertIsNone(choose_target(RUN, [tight], 'd1'))
+        self.assertIsNone(choose_move_target(RUN, [tight], 'd1'))
 
 
 class NoticeBoardTest(unittest.IsolatedAsyncioTestCase):
-    """Notices and cuts come in either order."""
+    """Notices and interruptions arrive in either order."""
 
     def setUp(self):
         self.board = NoticeBoard()
         self.notice = MoveNotice('r', 'a:1', 'h', 'b:1')
 
-    async def test_notice_first(self):
+    async def test_notice_before_interruption(self):
         self.board.post(self.notice)
         self.assertEqual(self.notice, await self.board.wait('r', 0))
 
-    async def test_cut_first(self):
+    async def test_interruption_before_notice(self):
         waiting = asyncio.create_task(self.board.wait('r', 5))
         await asyncio.sleep(0)
         self.board.post(self.notice)
@@ -98,16 +102,17 @@
     async def test_no_notice(self):
         self.assertIsNone(await self.board.wait('r', 0.01))
 
-    async def test_older_notice_explains_no_later_cut(self):
-        """A stream is moved, its notice comes late, and its new engine dies.
+    async def test_outdated_notice_is_dropped(self):
+        """A stream is moved, its notice arrives late, and the target dies.
 
-        The stale notice would send the stream to a copy that was used up.
+        The outdated notice would resume the stream from a copy that was
+        already consumed.
         """
         self.board.post(self.notice)
         self.board.forget('r')
         self.assertIsNone(await self.board.wait('r', 0.01))
 
-    async def test_notices_of_other_entries_do_not_pile_up(self):
+    async def test_notices_of_other_entries_are_bounded(self):
         for number in range(2000):
             self.board.post(MoveNotice(str(number), 'a:1', 'h', 'b:1'))
         self.assertIsNone(await self.board.wait('0', 0))
