--- a/primrosewood/enginereports.py
+++ b/primrosewood/enginereports.py
@@ -1,10 +1,10 @@
-"""What the process beside an engine tells entries of its load, and when.
+"""Load reports of one engine, sent to entries by its endpoint process.
 
-Entries choose by these reports, each for itself.  A call that one of them has
-just sent is in no report of the engine yet: whoever chooses in that moment
-sees an emptier engine than there is, and many entries send there together.
-So entries announce what they send, and this process, which sees all of it,
-tells it on at once.
+Each entry selects engines by these reports on its own. The engine's own figures
+do not include a call that an entry has just sent, so other entries would see
+the engine emptier than it is and send to it all at once (thundering herd). To
+avoid this entries announce the calls that they send to the endpoint process,
+which adds them to its reports until the engine's figures include them.
 """
 
 from collections import deque
@@ -15,115 +15,122 @@
 
 __all__ = ('EngineReports', 'read_report')
 
-# Without news a report still shows that this process lives.
-_BEAT_SECONDS = 0.5
-# What a node may send for control, and a report's size in a frame.
-_BYTES_A_SECOND = 4000
+# Interval of reports without changes, which show that this process is alive.
+_HEARTBEAT_SECONDS = 0.5
+# Control traffic that a node may send, and the size of one report in a frame.
+_MAX_BYTES_PER_SECOND = 4000
 _REPORT_BYTES = 28
-# Reports that may go out at once after a quiet time, and that news of a fuller
-# engine may borrow.
-_BURST = 12
-# From a call's announcement until the engine's own figures count it.
-_ARRIVAL_SECONDS = 0.015
-# Memory that was used or freed counts as news from this share of all.
-_MEMORY_SHARE = 0.06
-_MICROSECONDS = 1e6
+# Reports that may be sent in a burst after a quiet time, and the debt that
+# reports of a higher load may run up.
+_BURST_REPORTS = 12
+# Time from a call's announcement until the engine's own figures include it.
+_ANNOUNCEMENT_SETTLE_SECONDS = 0.015
+# A change of used memory is reported from this share of the total.
+_MEMORY_CHANGE_SHARE = 0.06
+_MICROSECONDS_PER_SECOND = 1e6
 
 
 @dataclass(frozen=True, slots=True)
-class _Announced:
-    """A call that an entry announced."""
+class _AnnouncedCall:
+    """A call that an entry announced and the engine does not show yet."""
 
     prompt_tokens: int
-    at: float
+    announced_at: float
 
 
 class EngineReports:
-    """Joins the engine's figures with announced calls; bounds the traffic.
+    """Combines engine figures with announced calls and limits the send rate.
 
     Attributes
     ----------
     last
-        What was told last, None before the first report.
+        Report that was sent last, None before the first one.
     """
 
     def __init__(self) -> None:
-        """Start without figures."""
+        """Create reports for an engine without figures."""
         self.last: wire.EngineReport | None = None
-        self._last_at = float('-inf')
+        self._last_sent_at = float('-inf')
         self._state = EngineState()
-        self._coming: deque[_Announced] = deque()
-        self._credit: float = _BURST
-        self._filled_at: float = 0
+        self._announced: deque[_AnnouncedCall] = deque()
+        self._credit: float = _BURST_REPORTS
+        self._refilled_at: float = 0
 
     def announce(self, prompt_tokens: int, now: float) -> None:
-        """Note a call that is on its way to the engine."""
-        self._coming.append(_Announced(prompt_tokens, now))
+        """Record a call that an entry has just sent to the engine."""
+        self._announced.append(_AnnouncedCall(prompt_tokens, now))
 
-    def take(self, state: EngineState, began: float) -> None:
-        """Note the engine's own figures.
+    def take(self, state: EngineState, started_at: float) -> None:
+        """Record the engine's own figures.
 
         Parameters
         ----------
         state
-            As the engine told it.
-        began
-            When it was asked, in monotonic seconds.
+            Figures as read from the engine.
+        started_at
+            When the request for them was sent, in monotonic seconds.
         """
         self._state = state
-        while self._coming and self._coming[0].at < began - _ARRIVAL_SECONDS:
-            self._coming.popleft()
+        while (
+            self._announced
+            and self._announced[0].announced_at
+            < started_at - _ANNOUNCEMENT_SETTLE_SECONDS
+        ):
+            self._announced.popleft()
 
     def make(self, entries: int) -> wire.EngineReport:
-        """Return the report that holds now."""
+        """Return the current report for a number of connected entries."""
         state = self._state
-        unread = sum(each.prompt_tokens for each in self._coming)
+        announced_tokens = sum(each.prompt_tokens for each in self._announced)
         return wire.EngineReport(
-            running=state.running + len(self._coming),
+            running=state.running + len(self._announced),
             queued=state.queued,
-            used_tokens=state.used_tokens + unread,
+            used_tokens=state.used_tokens + announced_tokens,
             total_tokens=state.total_tokens,
             leaving=state.leaving,
             entries=entries,
-            unread_tokens=state.unread_tokens + unread,
+            unread_tokens=state.unread_tokens + announced_tokens,
             generating=state.generating,
-            token_micros=int(state.token_seconds * _MICROSECONDS),
+            token_micros=int(state.token_seconds * _MICROSECONDS_PER_SECOND),
         )
 
     def is_due(self, report: wire.EngineReport, now: float) -> bool:
-        """Tell whether a report is worth telling, and may be told now."""
-        if now >= self._last_at + _BEAT_SECONDS:
+        """Return whether a report is worth sending and the rate allows it."""
+        if now >= self._last_sent_at + _HEARTBEAT_SECONDS:
             return True
-        if self.last is not None and not _is_news(report, self.last):
+        if self.last is not None and not _is_significant_change(
+            report, self.last
+        ):
             return False
-        self._fill(report.entries, now)
-        # An engine that looks emptier than it is draws all calls, so that
-        # news may borrow; one that looks fuller only misses some.
-        least = -_BURST if self._is_fuller(report) else 1
-        return self._credit >= least
+        self._refill_credit(report.entries, now)
+        # An engine that looks emptier than it is attracts too many calls, so a
+        # report of higher load may exceed the rate. An engine that looks fuller
+        # than it is only misses some calls.
+        min_credit = -_BURST_REPORTS if self._is_more_loaded(report) else 1
+        return self._credit >= min_credit
 
     def note_told(self, report: wire.EngineReport, now: float) -> None:
-        """Note that a report goes out."""
-        self._fill(report.entries, now)
-        self._credit = max(-_BURST, self._credit - 1)
-        self.last, self._last_at = report, now
+        """Record that a report is sent."""
+        self._refill_credit(report.entries, now)
+        self._credit = max(-_BURST_REPORTS, self._credit - 1)
+        self.last, self._last_sent_at = report, now
 
-    def _is_fuller(self, report: wire.EngineReport) -> bool:
+    def _is_more_loaded(self, report: wire.EngineReport) -> bool:
         last = self.last
         return last is not None and (
             report.leaving > last.leaving
             or report.unread_tokens > last.unread_tokens
         )
 
-    def _fill(self, entries: int, now: float) -> None:
-        rate = _BYTES_A_SECOND / (_REPORT_BYTES * max(1, entries))
-        more = (now - self._filled_at) * rate
-        self._credit = min(_BURST, self._credit + more)
-        self._filled_at = now
+    def _refill_credit(self, entries: int, now: float) -> None:
+        rate = _MAX_BYTES_PER_SECOND / (_REPORT_BYTES * max(1, entries))
+        refill = (now - self._refilled_at) * rate
+        self._credit = min(_BURST_REPORTS, self._credit + refill)
+        self._refilled_at = now
 
 
 def read_report(report: wire.EngineReport) -> EngineState:
-    """Return the state that a report tells."""
+    """Convert a report to the engine's state."""
     return EngineState(
         running=report.running,
         queued=report.queued,
@@ -132,17 +139,19 @@
         leaving=report.leaving,
         unread_tokens=report.unread_tokens,
         generating=report.generating,
-        token_seconds=report.token_micros / _MICROSECONDS,
+        token_seconds=report.token_micros / _MICROSECONDS_PER_SECOND,
     )
 
 
-def _is_news(report: wire.EngineReport, last: wire.EngineReport) -> bool:
-    """Tell whether a choice among engines may come out differently."""
+def _is_significant_change(
+    report: wire.EngineReport, last: wire.EngineReport
+) -> bool:
+    """Return whether the change may alter the selection of an engine."""
     if _counts(report) != _counts(last):
         return True
-    step = report.total_tokens * _MEMORY_SHARE
-    grown = abs(report.used_tokens - last.used_tokens)
-    return grown > step or report.total_tokens != last.total_tokens
+    step = report.total_tokens * _MEMORY_CHANGE_SHARE
+    used_change = abs(report.used_tokens - last.used_tokens)
+    return used_change > step or report.total_tokens != last.total_tokens
 
 
 def _counts(report: wire.EngineReport) -> tuple[int, int, int, bool]:
--- a/primrosewood/engineview.py
+++ b/primrosewood/engineview.py
@@ -1,4 +1,4 @@
-"""What an entry hears from the processes beside engines."""
+"""An entry's links to the endpoint processes of all engines."""
 
 from collections.abc import Callable
 from functools import partial
@@ -17,26 +17,27 @@
 
 __all__ = ('EngineView',)
 
-# An engine that leaves without a word loses its record first and serves on for
-# some seconds; its moves are told over this link.
-_LINGER_SECONDS = 15.0
-# An engine that announces itself has just started, and its record, which says
-# how long it is cold, has not come yet.
+# The link outlives the engine's record: an engine that leaves without notice
+# loses its record first and still serves for some seconds, during which moves
+# are reported over this link.
+_UNLISTED_LINK_SECONDS = 15.0
+# Assumed cold time of an engine that was announced over a link: it has just
+# started, and its record, which states the cold time, is not known yet.
 _ANNOUNCED_COLD_SECONDS = 5.0
-# Room that is offered for moves leaves this share of an engine's memory to
-# what its own generations will still add.
-_OFFERED = 0.9
+# Share of an engine's memory that moves may fill; the rest is left for the
+# growth of its own generations.
+_OFFERED_MEMORY_SHARE = 0.9
 
 
 class EngineView:
-    """Links to the process beside each engine, and what they bring.
+    """Keeps a link to the endpoint process of each engine.
 
     Parameters
     ----------
     link_port
-        Where these processes listen, each on its engine's VM.
+        Port on which endpoint processes listen on their VMs.
     handle_other
-        Called with messages that are not about engines, and their link.
+        Called with each message that is not about engines, and its link.
     """
 
     def __init__(
@@ -50,7 +51,7 @@
         link_port: int,
         handle_other: Callable[[Message, Link], None],
     ) -> None:
-        """Start without links."""
+        """Create a view without links."""
         self._handle_other = handle_other
         self._backends = backends
         self._tables = tables
@@ -60,45 +61,45 @@
         self._clock = clock
         self._link_port = link_port
         self._links: dict[str, PeerLink] = {}
-        self._told_entries: dict[str, int] = {}
-        self._unlisted: dict[str, float] = {}
+        self._reported_entries: dict[str, int] = {}
+        self._unlisted_since: dict[str, float] = {}
 
     def update(self) -> None:
-        """Link to the engines that are known."""
+        """Open links to new engines and mark engines that are not listed."""
         wanted = {
             backend.record.address
             for backend in self._backends.backends
             if self._is_engine(backend)
         }
         for missing in wanted - self._links.keys():
-            self._links[missing] = self._open(missing)
+            self._links[missing] = self._open_link(missing)
         now = self._clock.monotonic()
-        self._unlisted = {
-            address: self._unlisted.get(address, now)
+        self._unlisted_since = {
+            address: self._unlisted_since.get(address, now)
             for address in self._links.keys() - wanted
         }
 
     def tick(self) -> None:
-        """Give up what is silent, or whose engine left long ago."""
+        """Drop outdated reports, silent links and links of removed engines."""
         now = self._clock.monotonic()
         for backend in self._backends.backends:
             if backend.drop_old_state(now):
                 log_event('reports_stopped', 'WARNING', endpoint=backend.name)
-        for address, since in list(self._unlisted.items()):
-            if now > since + _LINGER_SECONDS:
-                self._unlisted.pop(address)
+        for address, since in list(self._unlisted_since.items()):
+            if now > since + _UNLISTED_LINK_SECONDS:
+                self._unlisted_since.pop(address)
                 self._links.pop(address).stop()
-                self._told_entries.pop(address, None)
+                self._reported_entries.pop(address, None)
         for link in self._links.values():
             link.check_silence()
 
     def stop(self) -> None:
-        """End all links."""
+        """Close all links."""
         for link in self._links.values():
             link.stop()
 
-    def room(self, service: str) -> list[wire.EngineRoom]:
-        """Return the engines of a service that can take generations in."""
+    def engines_with_capacity(self, service: str) -> list[wire.EngineRoom]:
+        """Return the engines of a service that can accept moved generations."""
         now = self._clock.monotonic()
         return [
             wire.EngineRoom(
@@ -110,8 +111,8 @@
             if _has_slot(backend) and not backend.call_limit.find_wait(now)
         ]
 
-    def take_found(self, found: wire.EngineFound) -> bool:
-        """Note an engine that announces itself; tell whether it is new."""
+    def register_engine(self, found: wire.EngineFound) -> bool:
+        """Add an announced engine; return whether it was unknown before."""
         engine = self._tables.engine_traits(found.service)
         if engine is None:
             return False
@@ -135,7 +136,7 @@
         return is_new
 
     def send_to_one(self, message: Message) -> bool:
-        """Send a message on one of the links, another one each time.
+        """Send a message on one of the links, in rotation.
 
         Returns
         -------
@@ -144,57 +145,67 @@
         """
         for address, link in list(self._links.items()):
             if link.send(message):
-                # To the end, so that the next message takes another one.
+                # Moved to the end, so that the next message uses another link.
                 self._links[address] = self._links.pop(address)
                 return True
         return False
 
     def announce_call(
-        self, backend: Backend, name: str, unread: int, whole: int
+        self, backend: Backend, name: str, unread_tokens: int, whole_tokens: int
     ) -> None:
-        """Tell the process beside an engine of a call that is sent there.
+        """Announce a call to the endpoint process of its engine.
 
         Parameters
         ----------
         backend
             The engine.
         name
-            Of the call.
-        unread
-            Tokens that the engine has to read.
-        whole
-            Tokens of its prompt and expected answer.
+            Name of the call.
+        unread_tokens
+            Tokens for which the engine still has to run prefill.
+        whole_tokens
+            Tokens of the prompt and the expected answer together.
         """
         link = self._links.get(backend.record.address)
         if link is not None:
-            link.send(wire.CallPlaced(name, unread, whole))
+            link.send(wire.CallPlaced(name, unread_tokens, whole_tokens))
 
     def take_announcement(self, message: Message, _link: Link) -> None:
-        """Act on what came from the process beside an engine directly."""
-        if isinstance(message, wire.EngineFound) and self.take_found(message):
+        """Handle the announcement of an engine by its endpoint process.
+
+        A new engine is announced to all linked endpoint processes, which
+        forward the announcement to the other entries.
+        """
+        if isinstance(message, wire.EngineFound) and self.register_engine(
+            message
+        ):
             for link in self._links.values():
                 link.send(message)
 
-    def _open(self, address: str) -> PeerLink:
+    def _open_link(self, address: str) -> PeerLink:
         host = address.partition(':')[0]
         return PeerLink(
             f'ws://{host}:{self._link_port}',
             self._identity,
             self._clock,
-            partial(self._handle, address),
+            partial(self._handle_message, address),
         )
 
     def _is_engine(self, backend: Backend) -> bool:
         return self._tables.engine_traits(backend.record.service) is not None
 
-    def _handle(self, address: str, message: Message, link: Link) -> None:
+    def _handle_message(
+        self, address: str, message: Message, link: Link
+    ) -> None:
         match message:
             case wire.EngineReport():
-                self._take_report(address, message)
+                self._handle_report(address, message)
             case wire.RoomAsk():
-                link.send(wire.RoomTold(self.room(message.service)))
+                link.send(
+                    wire.RoomTold(self.engines_with_capacity(message.service))
+                )
             case wire.EngineFound():
-                self.take_found(message)
+                self.register_engine(message)
             case wire.RunMoved():
                 self._notices.post(
                     MoveNotice(
@@ -207,9 +218,9 @@
             case _:
                 self._handle_other(message, link)
 
-    def _take_report(self, address: str, report: wire.EngineReport) -> None:
-        self._told_entries[address] = report.entries
-        self._entries.take(max(self._told_entries.values()))
+    def _handle_report(self, address: str, report: wire.EngineReport) -> None:
+        self._reported_entries[address] = report.entries
+        self._entries.take(max(self._reported_entries.values()))
         backend = self._backends.find_address(address)
         if backend is None:
             return
@@ -238,4 +249,4 @@
     used = max(
         state.used_tokens + backend.unreported_tokens, backend.open_tokens
     )
-    return max(0, int(state.total_tokens * _OFFERED) - used)
+    return max(0, int(state.total_tokens * _OFFERED_MEMORY_SHARE) - used)
--- a/primrosewood/peerlink.py
+++ b/primrosewood/peerlink.py
@@ -1,10 +1,10 @@
-"""Links between entries and the processes beside engines, for direct calls.
+"""WebSocket links between entries and endpoint processes, for direct calls.
 
-The process beside an engine listens; every entry connects to it.  It tells
-the engine's own report, which entries could otherwise read only half a second
-late, and which generations it moved where, and passes on what entries ask each
-other.  Entries listen too, for the process beside an engine that no entry
-knows yet.
+An endpoint process listens on its engine's VM, and every entry connects to it.
+Over the link it sends the engine's report, which entries could otherwise read
+only half a second late, reports moves of generations, and forwards messages
+between entries. Entries listen too, for endpoint processes whose engine no
+entry knows yet.
 """
 
 import asyncio
@@ -24,24 +24,25 @@
 
 __all__ = ('PeerLink', 'PeerServer', 'LinkIdentity')
 
-_HANDSHAKE_SECONDS = 1.0
-# Frames may carry the operators' whole table, whose value is at most 1 MB.
-_LONGEST_FRAME = 2_097_152
-# Reports come at least twice a second; a link without any for this long leads
-# to a process that is stopped, or has lost its network without a reset.
-_SILENCE_SECONDS = 2.0
-_RECONNECT_SECONDS = 0.3
-_UNAUTHENTICATED = 1008
+_HANDSHAKE_TIMEOUT_SECONDS = 1.0
+# A frame may carry the operators' complete route table, at most 1 MB.
+_MAX_FRAME_BYTES = 2_097_152
+# Reports arrive at least twice a second. After this long without one the peer
+# is paused, or its network was cut without a reset of the connection.
+_SILENCE_TIMEOUT_SECONDS = 2.0
+_RECONNECT_DELAY_SECONDS = 0.3
+# WebSocket close code for peers that fail authentication.
+_CLOSE_POLICY_VIOLATION = 1008
 
 
 @dataclass(frozen=True, slots=True)
 class LinkIdentity:
-    """How a process greets.
+    """Identity that a process sends when it connects.
 
     Attributes
     ----------
     key
-        Shared by all processes of a deployment.
+        Secret that all processes of a deployment share.
     """
 
     name: str
@@ -50,14 +51,14 @@
 
 
 class PeerLink:
-    """A connection that is made again whenever it ends.
+    """A connection to a peer that reconnects whenever it ends.
 
     Parameters
     ----------
     url
-        Where the peer listens.
+        URL on which the peer listens.
     handle
-        Called with each message, and with the link to answer on.
+        Called with each message and the link for replies.
     """
 
     def __init__(
@@ -67,37 +68,37 @@
         clock: Clock,
         handle: Callable[[Message, Link], None],
     ) -> None:
-        """Begin to connect."""
+        """Start connecting in the background."""
         self._url = url
         self._identity = identity
         self._clock = clock
         self._handle = handle
-        self._heard_at = clock.monotonic()
+        self._last_heard_at = clock.monotonic()
         self._link: Link | None = None
         self._task = spawn(self._run(), f'link to {url}')
 
     def check_silence(self) -> None:
-        """Give up a connection whose peer has said nothing for too long.
+        """Abort a connection on which nothing has arrived for too long.
 
-        A connection that a cut has silenced is never reset; without this the
-        entry would wait for reports of an engine that left long ago.
+        A network partition does not reset a connection; without this check the
+        entry would wait for reports of an engine that is long gone.
         """
         link = self._link
-        silence = self._clock.monotonic() - self._heard_at
-        if link is not None and silence > _SILENCE_SECONDS:
+        silence = self._clock.monotonic() - self._last_heard_at
+        if link is not None and silence > _SILENCE_TIMEOUT_SECONDS:
             log_event('link_silent', 'WARNING', peer=self._url)
             self._link = None
             spawn(link.abort(), 'abort link')
 
     def send(self, message: Message) -> bool:
-        """Send a message; False when there is no connection."""
+        """Send a message; return False if there is no connection."""
         if self._link is None:
             return False
         self._link.send(message)
         return True
 
     def stop(self) -> None:
-        """End the connection."""
+        """Close the connection and stop reconnecting."""
         self._task.cancel()
 
     async def _run(self) -> None:
@@ -111,16 +112,16 @@
                     peer=self._url,
                     why=type(error).__name__,
                 )
-            await asyncio.sleep(_RECONNECT_SECONDS)
+            await asyncio.sleep(_RECONNECT_DELAY_SECONDS)
 
     async def _connect_once(self) -> None:
         async with connect(
             self._url,
             compression=None,
             ping_interval=None,
-            open_timeout=_HANDSHAKE_SECONDS,
-            close_timeout=_HANDSHAKE_SECONDS,
-            max_size=_LONGEST_FRAME,
+            open_timeout=_HANDSHAKE_TIMEOUT_SECONDS,
+            close_timeout=_HANDSHAKE_TIMEOUT_SECONDS,
+            max_size=_MAX_FRAME_BYTES,
             proxy=None,
         ) as socket:
             identity = self._identity
@@ -131,94 +132,98 @@
             )
             await socket.send(serialise_frame([hello]))
             link = Link(socket)
-            self._heard_at = self._clock.monotonic()
+            self._last_heard_at = self._clock.monotonic()
             self._link = link
             log_event('link_opened', peer=self._url)
             try:
-                await link.run(lambda message: self._take(message, link))
+                await link.run(
+                    lambda message: self._handle_message(message, link)
+                )
             finally:
                 if self._link is link:
                     self._link = None
                 log_event('link_closed', peer=self._url)
 
-    def _take(self, message: Message, link: Link) -> None:
-        self._heard_at = self._clock.monotonic()
+    def _handle_message(self, message: Message, link: Link) -> None:
+        self._last_heard_at = self._clock.monotonic()
         self._handle(message, link)
 
 
 class PeerServer:
-    """Accepts links.
+    """Accepts links from peers that know the shared key.
 
     Parameters
     ----------
     handle
-        Called with each message of a peer, and with its link.
-    greet
-        Returns what a new peer is told at once, None for nothing.
+        Called with each message of a peer and its link.
+    make_greeting
+        Returns a message to send to each new peer, None for no message.
     """
 
     def __init__(
         self,
         key: str,
         handle: Callable[[Message, Link], None],
-        greet: Callable[[], Message | None] | None = None,
+        make_greeting: Callable[[], Message | None] | None = None,
     ) -> None:
-        """Start without links."""
+        """Create a server without links."""
         self._key = key
         self._handle = handle
-        self._greet = greet
+        self._make_greeting = make_greeting
         self._links: dict[Link, str] = {}
 
     @property
     def peers(self) -> int:
-        """Number of processes that are connected."""
+        """Number of connected processes."""
         return len(set(self._links.values()))
 
     def listen(
         self, host: str, port: int
     ) -> AbstractAsyncContextManager[Server]:
-        """Return the server; entering it opens the port."""
+        """Return a context manager that listens on the port."""
         return serve(
-            self._serve,
+            self._serve_peer,
             host,
             port,
             compression=None,
             ping_interval=None,
-            max_size=_LONGEST_FRAME,
+            max_size=_MAX_FRAME_BYTES,
         )
 
-    def broadcast(self, message: Message, but: Link | None = None) -> None:
-        """Send a message to every peer, but for one."""
+    def broadcast(self, message: Message, exclude: Link | None = None) -> None:
+        """Send a message to every peer except the excluded one."""
         for link in self._links:
-            if link is not but:
+            if link is not exclude:
                 link.send(message)
 
     def send_to_some(
-        self, message: Message, most: int, but: Link | None = None
+        self, message: Message, limit: int, exclude: Link | None = None
     ) -> None:
-        """Send a message to a few peers, others each time."""
-        chosen = [link for link in self._links if link is not but][:most]
+        """Send a message to a limited number of peers, in rotation."""
+        chosen = [link for link in self._links if link is not exclude][:limit]
         for link in chosen:
             link.send(message)
             self._links[link] = self._links.pop(link)
 
     def send_to(self, peer: str, message: Message) -> None:
-        """Send a message to the peer of a name, if it is connected."""
+        """Send a message to a peer by its process name, if connected."""
         for link, name in self._links.items():
             if name == peer:
                 link.send(message)
 
-    async def _serve(self, socket: ServerConnection) -> None:
+    async def _serve_peer(self, socket: ServerConnection) -> None:
         try:
-            hello = await read_greeting(socket, self._key, _HANDSHAKE_SECONDS)
+            hello = await read_greeting(
+                socket, self._key, _HANDSHAKE_TIMEOUT_SECONDS
+            )
         except CONNECT_ERRORS as error:
             log_event('link_refused', 'WARNING', why=type(error).__name__)
-            await socket.close(_UNAUTHENTICATED)
+            await socket.close(_CLOSE_POLICY_VIOLATION)
             return
         link = Link(socket)
         self._links[link] = hello.process
         log_event('link_opened', peer=hello.process, peers=self.peers)
-        greeting = self._greet and self._greet()
+        greeting = self._make_greeting and self._make_greeting()
         if greeting is not None:
             link.send(greeting)
         try:
--- a/tests/test_enginereports.py
+++ b/tests/test_enginereports.py
@@ -1,8 +1,8 @@
-"""What is told of an engine, and when.
+"""Tests of load reports, and a simulation of entries that rely on them.
 
-The pattern: 27 entries before 25 engines, some 29 generations a second, half
-of them short ones whose first event is due after 1.5 s behind prompts that
-take 0.4 s each.
+The simulated load: 27 entries, 25 engines and about 29 generations a second.
+Half of them are short; their first event is due within 1.5 s, and prefill of
+one prompt takes 0.4 s.
 """
 
 import unittest
@@ -15,15 +15,15 @@
 
 
 class EngineReportsTest(unittest.TestCase):
-    """One engine's reports."""
+    """Contents and send rate of one engine's reports."""
 
     def setUp(self):
         self.reports = EngineReports()
         self.reports.take(IDLE, 0)
-        self.tell(0)
+        self.send_if_due(0)
 
-    def tell(self, now, entries=4):
-        """Tell what is due; return whether something was."""
+    def send_if_due(self, now, entries=4):
+        """Send a report if one is due; return whether it was."""
         report = self.reports.make(entries)
         due = self.reports.is_due(report, now)
         if due:
@@ -31,7 +31,7 @@
         return due
 
     def test_announced_call_counts_until_the_engine_shows_it(self):
-        """A call is on its way: no figure of the engine has it yet."""
+        """A call in flight is not in the engine's own figures yet."""
         self.reports.announce(3000, 1.0)
         report = self.reports.make(4)
         self.assertEqual((1, 3000), (report.running, report.unread_tokens))
@@ -45,7 +45,7 @@
         self.reports.take(IDLE, 0.99)
         self.assertEqual(3000, self.reports.make(4).unread_tokens)
 
-    def test_told_at_once_when_a_call_comes_begins_or_ends(self):
+    def test_reported_at_once_when_a_call_arrives_starts_or_ends(self):
         for now, state in enumerate(
             (
                 EngineState(running=1, total_tokens=27_000),
@@ -55,62 +55,65 @@
             start=1,
         ):
             self.reports.take(state, now / 10)
-            self.assertTrue(self.tell(now / 10), state)
-            self.assertFalse(self.tell(now / 10 + 0.01), state)
+            self.assertTrue(self.send_if_due(now / 10), state)
+            self.assertFalse(self.send_if_due(now / 10 + 0.01), state)
 
-    def test_growing_generations_are_no_news(self):
+    def test_growing_generations_are_not_reported(self):
         grown = EngineState(used_tokens=200, total_tokens=27_000)
         self.reports.take(grown, 0.1)
-        self.assertFalse(self.tell(0.1))
+        self.assertFalse(self.send_if_due(0.1))
 
-    def test_beat_shows_that_the_process_lives(self):
-        self.assertFalse(self.tell(0.4))
-        self.assertTrue(self.tell(0.5))
+    def test_heartbeat_is_sent_without_changes(self):
+        self.assertFalse(self.send_if_due(0.4))
+        self.assertTrue(self.send_if_due(0.5))
 
     def test_traffic_is_bounded_by_the_number_of_entries(self):
-        """A storm of calls at one engine before 330 entries.
+        """One engine with many changes of load and 330 entries.
 
-        Reports to all of them would take what the node may send many times.
+        Reporting each change to all of them would exceed many times the control
+        traffic that a node may send.
         """
-        told = 0
+        sent = 0
         for step in range(1000):
             now = step / 100
             running = EngineState(running=step % 7, total_tokens=27_000)
             self.reports.take(running, now)
-            told += self.tell(now, entries=330)
-        # Twice a second, and what a quiet time had saved.
-        self.assertLessEqual(told, 20 + 20 + 5)
+            sent += self.send_if_due(now, entries=330)
+        # Two heartbeats a second, and the credit from a quiet time.
+        self.assertLessEqual(sent, 20 + 20 + 5)
 
 
-class HerdTest(unittest.TestCase):
-    """Many entries choose at the same time."""
+class ThunderingHerdTest(unittest.TestCase):
+    """Many entries select engines at the same time."""
 
-    def play(self, way):
-        return play_fleet(way, 20, seed=3)
+    def simulate(self, report_mode):
+        return play_fleet(report_mode, 20, seed=3)
 
     def test_entries_do_not_all_choose_the_engine_that_looks_emptiest(self):
-        """A herd on a fresh engine.
+        """Guards against a thundering herd on an engine that looks empty.
 
-        By counts that are 0.2 s old a third of the short answers came late;
-        by announced calls hardly any does, as with a view of everything.
+        With counts that are 0.2 s old a third of the short answers were late;
+        with announced calls hardly any is, as with a complete view.
         """
-        herd = self.play('counts')
-        announced = self.play('announced')
-        self.assertGreater(herd.late, 0.1)
+        by_counts = self.simulate('counts')
+        announced = self.simulate('announced')
+        self.assertGreater(by_counts.late, 0.1)
         self.assertLess(announced.late, 0.02)
-        self.assertLess(announced.met, herd.met / 2)
+        self.assertLess(announced.met, by_counts.met / 2)
         self.assertLess(announced.quantile(0.9), 0.9)
 
-    def test_leave_every_few_seconds(self):
+    def test_engines_leave_every_few_seconds(self):
         """A sixth of the engines leaves every 3.3 s, with a short notice.
 
-        Engines that held more than could be copied lost streams; spread by
-        what is on its way to them, hardly more are lost than with a view of
-        everything.
+        Engines that hold more than can be copied within the notice lose
+        streams. If announced calls spread the load, hardly more are lost than
+        with a complete view.
         """
         lost = {
-            way: sum(play_fleet(way, 25, seed).lost for seed in range(1, 7))
-            for way in ('counts', 'announced', 'oracle')
+            report_mode: sum(
+                play_fleet(report_mode, 25, seed).lost for seed in range(1, 7)
+            )
+            for report_mode in ('counts', 'announced', 'oracle')
         }
         self.assertGreater(lost['counts'], 10)
         self.assertLess(lost['announced'], lost['counts'] / 3)
