--- a/primrosewood/patches.py
+++ b/primrosewood/patches.py
@@ -1,8 +1,8 @@
-"""Differences between two versions of a large value.
+"""Binary patches between two versions of a large value, and compression.
 
-The routes of all teams are one value.  Most changes touch a few of them, and
-on a thin line the whole value takes longer than a change may take to come into
-force everywhere.
+The routes of all teams are stored as one value. Most changes affect a few
+routes, and on a slow network link sending the complete value takes longer than
+a change may take to be in force everywhere.
 """
 
 import zlib
@@ -12,135 +12,146 @@
 
 from .errors import WireError
 
-__all__ = ('Patch', 'apply_patch', 'make_patch', 'pack', 'unpack')
+__all__ = (
+    'Patch',
+    'apply_patch',
+    'compress_value',
+    'decompress_value',
+    'make_patch',
+)
 
-# Documents are cut behind each object, so that objects that did not change
-# match wherever they stand.
-_CUT = b'}'
-# Names and keys of a document repeat: the fastest level makes a tenth of it.
-_LEVEL = 1
-# What a packed value may unpack to: the largest value that a service keeps.
-_MOST_BYTES = 4_194_304
+# JSON documents are split after each object, so that unchanged objects match
+# wherever they are.
+_SEPARATOR = b'}'
+# Names and keys repeat, so the fastest level already compresses to a tenth.
+_COMPRESSION_LEVEL = 1
+# Limit of a decompressed value: the largest that the key-value service stores.
+_MAX_VALUE_BYTES = 4_194_304
 
-Copy = tuple[int, int, int]
+# Length of the insertion that comes first, then offset and length of the copy.
+PatchRow = tuple[int, int, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Patch:
-    """What turns one value into another.
+    """A sequence of insertions and copies that makes a newer value.
 
     Attributes
     ----------
-    fresh
+    inserted
         Bytes that the older value lacks, in the order of their use.
     copies
-        Rows of: number of fresh bytes that come first, then start and length
-        of what follows from the older value.
+        Rows of: number of inserted bytes that come first, then start and
+        length of the bytes that are copied from the older value.
     """
 
-    fresh: bytes
-    copies: tuple[Copy, ...]
+    inserted: bytes
+    copies: tuple[PatchRow, ...]
 
 
 def make_patch(old: bytes, new: bytes) -> Patch:
-    """Return what turns ``old`` into ``new``."""
-    known = _locate(old)
+    """Return a patch from ``old`` to ``new``."""
+    offsets = _index_pieces(old)
     writer = _PatchWriter()
     for piece in _split(new):
-        position = known.get(piece)
-        if position is None:
+        offset = offsets.get(piece)
+        if offset is None:
             writer.insert(piece)
         else:
-            writer.copy(position, len(piece))
+            writer.copy(offset, len(piece))
     return writer.finish()
 
 
-def apply_patch(old: bytes, fresh: bytes, copies: Sequence[Copy]) -> bytes:
-    """Return the newer value.
+def apply_patch(
+    old: bytes, inserted: bytes, copies: Sequence[PatchRow]
+) -> bytes:
+    """Return the newer value that a patch makes of an older one.
 
     Raises
     ------
     WireError
-        The patch is not one of this older value.
+        The patch does not fit the older value.
     """
     parts = []
-    taken = 0
-    for inserted, start, length in copies:
+    consumed = 0
+    for insert_length, start, length in copies:
         if start + length > len(old):
-            raise WireError('a patch copies beyond its base')
-        parts.append(fresh[taken : taken + inserted])
+            raise WireError('patch copies beyond the end of its base value')
+        parts.append(inserted[consumed : consumed + insert_length])
         parts.append(old[start : start + length])
-        taken += inserted
-    if taken != len(fresh):
-        raise WireError('a patch does not use all of its bytes')
+        consumed += insert_length
+    if consumed != len(inserted):
+        raise WireError('patch does not use all of its inserted bytes')
     return b''.join(parts)
 
 
-def pack(plain: bytes) -> bytes:
-    """Return bytes compressed."""
-    return zlib.compress(plain, _LEVEL)
+def compress_value(plain: bytes) -> bytes:
+    """Return a value compressed with zlib."""
+    return zlib.compress(plain, _COMPRESSION_LEVEL)
 
 
-def unpack(packed: bytes) -> bytes:
-    """Return what was packed.
+def decompress_value(compressed: bytes) -> bytes:
+    """Return a value that `compress_value` has compressed.
 
     Raises
     ------
     WireError
-        It was not packed here, or is larger than any value.
+        The data is not valid zlib data, or the value is too large.
     """
-    reader = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        plain = reader.decompress(packed, _MOST_BYTES)
+        plain = decompressor.decompress(compressed, _MAX_VALUE_BYTES)
     except zlib.error as error:
         raise WireError(str(error)) from error
-    if not reader.eof:
-        raise WireError('a packed value is cut or too large')
+    if not decompressor.eof:
+        raise WireError('compressed value is truncated or too large')
     return plain
 
 
 class _PatchWriter:
-    """Joins neighbouring copies, and insertions, to one row each."""
+    """Builds a patch; merges adjacent copies and adjacent insertions."""
 
     def __init__(self) -> None:
-        self._fresh = bytearray()
-        self._rows: list[Copy] = []
-        self._inserted = 0
-        self._start = 0
-        self._length = 0
+        self._inserted_bytes = bytearray()
+        self._rows: list[PatchRow] = []
+        self._insert_length = 0
+        self._copy_start = 0
+        self._copy_length = 0
 
     def insert(self, piece: bytes) -> None:
-        if self._length:
-            self._end_row()
-        self._fresh += piece
-        self._inserted += len(piece)
+        if self._copy_length:
+            self._finish_row()
+        self._inserted_bytes += piece
+        self._insert_length += len(piece)
 
     def copy(self, start: int, length: int) -> None:
-        if start != self._start + self._length:
-            if self._length:
-                self._end_row()
-            self._start = start
-        self._length += length
+        if start != self._copy_start + self._copy_length:
+            if self._copy_length:
+                self._finish_row()
+            self._copy_start = start
+        self._copy_length += length
 
     def finish(self) -> Patch:
-        self._end_row()
-        return Patch(bytes(self._fresh), tuple(self._rows))
+        self._finish_row()
+        return Patch(bytes(self._inserted_bytes), tuple(self._rows))
 
-    def _end_row(self) -> None:
-        self._rows.append((self._inserted, self._start, self._length))
-        self._inserted = 0
-        self._start = 0
-        self._length = 0
+    def _finish_row(self) -> None:
+        self._rows.append(
+            (self._insert_length, self._copy_start, self._copy_length)
+        )
+        self._insert_length = 0
+        self._copy_start = 0
+        self._copy_length = 0
 
 
 def _split(document: bytes) -> Iterator[bytes]:
-    *pieces, rest = document.split(_CUT)
+    *pieces, rest = document.split(_SEPARATOR)
     for piece in pieces:
-        yield piece + _CUT
+        yield piece + _SEPARATOR
     yield rest
 
 
-def _locate(document: bytes) -> dict[bytes, int]:
+def _index_pieces(document: bytes) -> dict[bytes, int]:
     pieces = list(_split(document))
     starts = accumulate(map(len, pieces), initial=0)
     return dict(zip(pieces, starts, strict=False))
--- a/primrosewood/sharedreader.py
+++ b/primrosewood/sharedreader.py
@@ -1,15 +1,16 @@
-"""One reading of the key-value service for all entries.
-
-Every entry needs all that stands there, soon after it changes.  If each reads
-for itself the calls grow with the fleet: 330 entries with a watch and a poll
-each make 900 calls a second of a service that bears several hundred.  Here
-whoever reads tells the others what has changed, and they put their own reading
-off.  Nobody is chosen: the first whose time has come reads.  An entry that
-hears nothing, since it or what passes messages on is cut off, reads by itself
-as soon as if it were alone.
-
-The service may also turn some processes away and serve the others; these hear
-from the others all the same, and ask them when they do not.
+"""Reads of the key-value service that entries share with each other.
+
+Every entry needs all keys soon after they change. If each entry read them
+itself, the load would grow with the fleet: 330 entries with a watch and a poll
+each make 900 calls a second, and the service sustains several hundred. Instead,
+an entry that has read sends the changes to the others, which then postpone
+their own next read. There is no leader: the entry whose timer expires first
+reads. An entry that receives no updates, because it or the forwarding processes
+are partitioned, reads on its own as early as if it were alone.
+
+The service may also refuse some processes and serve others. The refused ones
+get updates from the others all the same, and query them when their own read
+fails.
 """
 
 import asyncio
@@ -22,38 +23,38 @@
 from .kv import Change, Pair
 from .link import Link
 from .logs import log_decision, log_event
-from .patches import apply_patch, make_patch, pack, unpack
+from .patches import apply_patch, compress_value, decompress_value, make_patch
 from .storeview import StoreView
 
 __all__ = ('SharedReader',)
 
-# From hearing of the service to the next reading, up to half as much again so
-# that not all read at once.  Operators' changes must be in force two seconds
-# after they were accepted: one reading that ends by its time-out of 0.7 s
-# leaves time for another.
-_PERIOD_SECONDS = 0.4
-_JITTER = 0.5
-# A reading that fails while others read well is no outage.
-_LOST_SECONDS = 1.0
-_TO_ALL = ''
-# Smaller values are hardly worth packing.
-_PACKED_BYTES = 1024
+# Time from the last read or update to the next read, plus random jitter of up
+# to half of it, so that entries do not all read at once. Operators' changes
+# must be in force within 2 s of their acceptance; this leaves time for a second
+# read after one that fails by its timeout of 0.7 s.
+_READ_INTERVAL_SECONDS = 0.4
+_READ_JITTER_SHARE = 0.5
+# A failed read is no outage while updates from others are younger than this.
+_STALE_SECONDS = 1.0
+_ALL_ENTRIES = ''
+# Compressing smaller values saves too little.
+_MIN_COMPRESSED_BYTES = 1024
 
 
 class SharedReader:
-    """Keeps a view of the service fresh, with the other entries.
+    """Keeps a view of the key-value service current, with other entries.
 
     Parameters
     ----------
     name
-        Of this process, for the way back of answers.
+        Name of this process, to which replies are addressed.
     view
-        Reads the service and keeps what is known.
+        Reads the service and holds the known keys.
     send
-        Sends a message to some process that passes it on to the other
-        entries, another one each time.
+        Sends a message to an endpoint process, which forwards it to the other
+        entries; uses another endpoint process each time.
     note_answered
-        Told whether the service answers, here or to others.
+        Called with whether the service answers this entry or others.
     """
 
     def __init__(
@@ -65,156 +66,170 @@
         send: Callable[[Message], None],
         note_answered: Callable[[bool], None],
     ) -> None:
-        """Start as a process that has not read anything."""
+        """Create a reader whose first read is due at once."""
         self._name = name
         self._view = view
         self._clock = clock
         self._random = random
         self._send = send
         self._note_answered = note_answered
-        self._due_at = clock.monotonic()
-        self._fresh_at = float('-inf')
-        self._reading: asyncio.Timeout | None = None
+        self._next_read_at = clock.monotonic()
+        self._synced_at = float('-inf')
+        self._read_timeout: asyncio.Timeout | None = None
 
     async def run(self) -> None:
-        """Read whenever nobody else has, until cancelled."""
+        """Read whenever no update from others arrived, until cancelled."""
         while True:
-            left = self._due_at - self._clock.monotonic()
-            if left > 0:
-                await asyncio.sleep(left)
-                # Somebody may have told meanwhile.
+            delay = self._next_read_at - self._clock.monotonic()
+            if delay > 0:
+                await asyncio.sleep(delay)
+                # An update may have postponed the read meanwhile.
                 continue
             await self._read()
 
     def handle(self, message: Message, link: Link) -> None:
-        """Act on what another entry asks or tells."""
+        """Handle a query or an update from another entry."""
         if isinstance(message, wire.PairsAsk):
-            self._answer(message, link)
+            self._answer_query(message, link)
         elif isinstance(message, wire.PairsTold):
-            self._take(message)
+            self._apply_update(message)
 
     async def _read(self) -> None:
         known = self._view.newest
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         try:
-            async with asyncio.timeout(None) as reading:
-                self._reading = reading
+            async with asyncio.timeout(None) as read_timeout:
+                self._read_timeout = read_timeout
                 await self._view.read()
         except StoreUnavailableError as error:
-            self._note_failure(error)
+            self._handle_read_failure(error)
         except TimeoutError:
             log_event('reading_overtaken', 'DEBUG', newest=self._view.newest)
         else:
-            self._note_fresh(began)
-            self._send(self._news(_TO_ALL, known))
+            self._mark_synced(started_at)
+            self._send(self._make_update(_ALL_ENTRIES, known))
         finally:
-            self._reading = None
+            self._read_timeout = None
 
-    def _note_failure(self, error: StoreUnavailableError) -> None:
+    def _handle_read_failure(self, error: StoreUnavailableError) -> None:
         now = self._clock.monotonic()
-        self._put_off(now)
-        if now - self._fresh_at > _LOST_SECONDS:
+        self._schedule_read(now)
+        if now - self._synced_at > _STALE_SECONDS:
             log_event('reading_failed', 'WARNING', why=error)
             self._note_answered(False)
         self._send(wire.PairsAsk(self._name, self._view.newest))
 
-    def _note_fresh(self, at: float) -> None:
-        self._fresh_at = at
-        self._put_off(at)
+    def _mark_synced(self, synced_at: float) -> None:
+        self._synced_at = synced_at
+        self._schedule_read(synced_at)
         self._note_answered(True)
 
-    def _put_off(self, since: float) -> None:
-        spread = 1 + _JITTER * self._random.random()
-        self._due_at = since + _PERIOD_SECONDS * spread
+    def _schedule_read(self, since: float) -> None:
+        jitter_factor = 1 + _READ_JITTER_SHARE * self._random.random()
+        self._next_read_at = since + _READ_INTERVAL_SECONDS * jitter_factor
 
-    def _answer(self, ask: wire.PairsAsk, link: Link) -> None:
-        # What a process last read before an outage is no news.
-        age = self._clock.monotonic() - self._fresh_at
-        if age <= _LOST_SECONDS and self._view.newest > ask.since:
-            link.send(self._news(ask.asker, ask.since))
+    def _answer_query(self, query: wire.PairsAsk, link: Link) -> None:
+        # Keys that were last read before an outage may be outdated.
+        age = self._clock.monotonic() - self._synced_at
+        if age <= _STALE_SECONDS and self._view.newest > query.since:
+            link.send(self._make_update(query.asker, query.since))
 
-    def _news(self, asker: str, since: int) -> wire.PairsTold:
+    def _make_update(self, asker: str, since: int) -> wire.PairsTold:
         changes = self._view.changes_since(since)
         return wire.PairsTold(
             asker=asker,
             since=since,
             newest=self._view.newest,
-            pairs=[self._to_stored(asker, since, each) for each in changes],
+            pairs=[self._encode_change(asker, since, each) for each in changes],
         )
 
-    def _end_reading(self) -> None:
-        """Give up a reading that is under way, as it brings nothing new.
+    def _cancel_read(self) -> None:
+        """Cancel a read in progress that an update has made redundant.
 
-        Over a thin line it may take seconds yet, which callers' bytes wait
-        for.
+        On a slow network link the read may take seconds more and delay
+        callers' traffic.
         """
-        if self._reading is not None and not self._reading.expired():
-            self._reading.reschedule(asyncio.get_running_loop().time())
+        if self._read_timeout is not None and not self._read_timeout.expired():
+            self._read_timeout.reschedule(asyncio.get_running_loop().time())
 
-    def _to_stored(
+    def _encode_change(
         self, asker: str, since: int, change: Change
     ) -> wire.StoredPair:
-        told = wire.StoredPair(
+        encoded = wire.StoredPair(
             key=change.key,
             revision=change.revision,
             deleted=change.pair is None,
             stored=change.pair.stored if change.pair else b'',
         )
         older = self._view.find_older(change.key)
-        # Most have the version that this process had.  Who has another one
-        # reads, or asks and is told the whole value.
-        to_all = asker == _TO_ALL
-        if to_all and change.pair and older and older.revision <= since:
+        # Most entries hold the version that this entry held. Those with
+        # another version read the service, or query and get complete values.
+        for_all_entries = asker == _ALL_ENTRIES
+        if (
+            for_all_entries
+            and change.pair
+            and older
+            and older.revision <= since
+        ):
             patch = make_patch(older.stored, change.pair.stored)
-            told.base = older.revision
-            told.stored = patch.fresh
-            told.copies = [list(row) for row in patch.copies]
-        if len(told.stored) >= _PACKED_BYTES:
-            told.packed = True
-            told.stored = pack(told.stored)
-        return told
-
-    def _take(self, told: wire.PairsTold) -> None:
+            encoded.base = older.revision
+            encoded.stored = patch.inserted
+            encoded.copies = [list(row) for row in patch.copies]
+        if len(encoded.stored) >= _MIN_COMPRESSED_BYTES:
+            encoded.packed = True
+            encoded.stored = compress_value(encoded.stored)
+        return encoded
+
+    def _apply_update(self, update: wire.PairsTold) -> None:
         known = self._view.newest
-        found = [self._to_change(pair) for pair in told.pairs]
-        changes = [change for change in found if change is not None]
-        if told.since > known or len(changes) < len(found):
-            # Something was told in between that did not come here; what is
-            # told now holds all the same, but does not make this complete.
+        decoded = [self._decode_change(pair) for pair in update.pairs]
+        changes = [change for change in decoded if change is not None]
+        if update.since > known or len(changes) < len(decoded):
+            # An earlier update was missed, or a pair cannot be applied. The
+            # decoded changes are valid, but the view is not complete at the
+            # update's revision: read at once.
             self._view.take_told(changes, known)
-            self._due_at = self._clock.monotonic()
+            self._next_read_at = self._clock.monotonic()
             return
-        self._view.take_told(changes, told.newest)
-        self._note_fresh(self._clock.monotonic())
-        self._end_reading()
-        if told.asker == self._name:
+        self._view.take_told(changes, update.newest)
+        self._mark_synced(self._clock.monotonic())
+        self._cancel_read()
+        if update.asker == self._name:
             log_decision(
                 'changes_heard',
                 known=known,
-                newest=told.newest,
+                newest=update.newest,
                 changes=len(changes),
             )
 
-    def _to_change(self, told: wire.StoredPair) -> Change | None:
-        """Return what was told; None for what is of no use here."""
-        if told.deleted:
-            return Change(told.key, told.revision, None)
-        known = self._view.find(told.key)
-        if told.base and known is not None and known.revision >= told.revision:
+    def _decode_change(self, received: wire.StoredPair) -> Change | None:
+        """Decode a received pair; return None if it cannot be applied."""
+        if received.deleted:
+            return Change(received.key, received.revision, None)
+        known = self._view.find(received.key)
+        if (
+            received.base
+            and known is not None
+            and known.revision >= received.revision
+        ):
             return Change(known.key, known.revision, known)
         try:
-            stored = _read_value(told, known)
+            stored = _decode_value(received, known)
         except WireError as error:
-            log_event('value_refused', 'WARNING', key=told.key, why=error)
+            log_event('value_refused', 'WARNING', key=received.key, why=error)
             return None
-        pair = Pair(told.key, stored, told.revision)
-        return Change(told.key, told.revision, pair)
-
-
-def _read_value(told: wire.StoredPair, known: Pair | None) -> bytes:
-    fresh = unpack(told.stored) if told.packed else told.stored
-    if not told.base:
-        return fresh
-    if known is None or known.revision != told.base:
-        raise WireError('a patch of another version')
-    return apply_patch(known.stored, fresh, told.copies)
+        pair = Pair(received.key, stored, received.revision)
+        return Change(received.key, received.revision, pair)
+
+
+def _decode_value(received: wire.StoredPair, known: Pair | None) -> bytes:
+    inserted = (
+        decompress_value(received.stored)
+        if received.packed
+        else received.stored
+    )
+    if not received.base:
+        return inserted
+    if known is None or known.revision != received.base:
+        raise WireError('patch does not match the known revision')
+    return apply_patch(known.stored, inserted, received.copies)
--- a/tests/test_sharedreader.py
+++ b/tests/test_sharedreader.py
@@ -1,4 +1,4 @@
-"""Entries that share their readings of the key-value service."""
+"""Tests of entries that share their reads of the key-value service."""
 
 import asyncio
 import json
@@ -11,19 +11,19 @@
 from primrosewood.codec import serialise_frame
 from primrosewood.errors import StoreUnavailableError
 from primrosewood.kv import MemoryKeyValue
-from primrosewood.patches import make_patch, unpack
+from primrosewood.patches import decompress_value, make_patch
 from primrosewood.sharedreader import SharedReader
 from primrosewood.storeview import StoreView
 
 
-class _Counted(MemoryKeyValue):
-    """Counts readings; turns readers away."""
+class _CountingKeyValue(MemoryKeyValue):
+    """A key-value service that counts reads and can be slow or down."""
 
     def __init__(self):
         super().__init__()
-        self.readings = 0
-        self.away = False
-        self.pause = 0.002
+        self.read_count = 0
+        self.is_down = False
+        self.read_seconds = 0.002
 
     async def list_all(self, prefix):
         await self._count()
@@ -34,50 +34,52 @@
         return await super().list_changes(prefix, known)
 
     async def _count(self):
-        self.readings += 1
-        await asyncio.sleep(self.pause)
-        if self.away:
-            raise StoreUnavailableError('away')
+        self.read_count += 1
+        await asyncio.sleep(self.read_seconds)
+        if self.is_down:
+            raise StoreUnavailableError('down')
 
 
-class _TurnedAway(MemoryKeyValue):
-    """What a process sees that the service turns away."""
+class _RefusingKeyValue(MemoryKeyValue):
+    """The key-value service as seen by a process that it refuses."""
 
     async def list_all(self, prefix):
-        raise StoreUnavailableError('not you')
+        raise StoreUnavailableError('refused')
 
     async def list_changes(self, prefix, known):
-        raise StoreUnavailableError('not you')
+        raise StoreUnavailableError('refused')
 
 
-class _Bus:
-    """Passes messages on between readers, as a process beside an engine."""
+class _MessageBus:
+    """Forwards messages between readers, like an endpoint process."""
 
     def __init__(self):
         self.readers = {}
-        self.cut = set()
-        self.lose = 0
-        self.told = []
+        self.partitioned = set()
+        self.messages_to_drop = 0
+        self.updates = []
 
     def connect(self, name):
         return lambda message: self.send(name, message)
 
     def send(self, sender, message):
-        if self.lose:
-            self.lose -= 1
+        if self.messages_to_drop:
+            self.messages_to_drop -= 1
             return
         asker = getattr(message, 'asker', '')
-        told = isinstance(message, wire.PairsTold)
-        if told:
-            self.told.append(message)
+        is_update = isinstance(message, wire.PairsTold)
+        if is_update:
+            self.updates.append(message)
         for name, reader in self.readers.items():
-            wanted = name == asker if told and asker else name != sender
-            if wanted and not self.cut & {name, sender}:
+            is_recipient = (
+                name == asker if is_update and asker else name != sender
+            )
+            if is_recipient and not self.partitioned & {name, sender}:
                 reader.handle(message, _Link(self, name))
 
 
 class _Link:
-    """The way back to the bus."""
+    """A reader's link for replies over the bus."""
 
     def __init__(self, bus, name):
         self._bus = bus
@@ -88,17 +90,17 @@
 
 
 class SharedReaderTest(unittest.IsolatedAsyncioTestCase):
-    """What each knows, and how often the service is asked."""
+    """Keys that each reader holds, and calls that the service gets."""
 
     def setUp(self):
-        self.store = _Counted()
-        self.bus = _Bus()
+        self.store = _CountingKeyValue()
+        self.bus = _MessageBus()
         self.held = {}
-        self.answered = {}
+        self.availability = {}
 
     def add(self, name, store=None):
         held = self.held.setdefault(name, {})
-        notes = self.answered.setdefault(name, [])
+        reported = self.availability.setdefault(name, [])
 
         def take(key, pair):
             if pair is None:
@@ -112,7 +114,7 @@
             clock=SystemClock(),
             random=Random(len(self.held)),
             send=self.bus.connect(name),
-            note_answered=notes.append,
+            note_answered=reported.append,
         )
         task = asyncio.create_task(self.bus.readers[name].run())
         self.addCleanup(task.cancel)
@@ -122,21 +124,21 @@
             while any(self.held[name] != wanted for name in names or self.held):
                 await asyncio.sleep(0.01)
 
-    async def test_calls_do_not_grow_with_the_entries(self):
-        """A fleet of 330 entries would ask 900 times a second.
+    async def test_calls_do_not_grow_with_the_number_of_entries(self):
+        """Guards against 330 entries that make 900 calls a second.
 
-        The service refuses what is over its rate, and changes come late to
-        all. Forty readers here ask little more often than one.
+        The service refuses calls above its rate, which delays changes for all
+        entries. Here 40 readers make few more calls than one.
         """
         for number in range(40):
             self.add(f'e{number}')
         await self.store.put('a', b'1')
         await self.wait_held({'a': b'1'})
-        self.store.readings = 0
+        self.store.read_count = 0
         await asyncio.sleep(2)
-        # One alone reads four to five times in two seconds.
-        self.assertLess(self.store.readings, 20)
-        self.assertGreaterEqual(self.store.readings, 3)
+        # A single reader reads four to five times in two seconds.
+        self.assertLess(self.store.read_count, 20)
+        self.assertGreaterEqual(self.store.read_count, 3)
 
     async def test_changes_and_deletions_reach_all(self):
         for number in range(5):
@@ -148,132 +150,140 @@
         await self.store.put('b', b'3')
         await self.wait_held({'b': b'3'}, seconds=1.0)
 
-    async def test_entry_that_hears_nothing_reads_by_itself(self):
-        """An entry is cut from what passes messages on, not from the store."""
+    async def test_entry_without_updates_reads_by_itself(self):
+        """An entry is partitioned from endpoint processes, not the store."""
         for name in ('e1', 'e2', 'e3'):
             self.add(name)
         await self.store.put('a', b'1')
         await self.wait_held({'a': b'1'})
-        self.bus.cut.add('e2')
+        self.bus.partitioned.add('e2')
         await self.store.put('a', b'2')
         await self.wait_held({'a': b'2'}, seconds=1.0)
 
-    async def test_lost_news(self):
-        """Some messages never arrive, without a sign.
+    async def test_lost_updates(self):
+        """Some updates are lost without an error.
 
-        What was told in them must not be missing once later ones come.
+        Their changes must not be missing after later updates arrive.
         """
         for name in ('e1', 'e2', 'e3'):
             self.add(name)
         await self.wait_held({})
         for number in range(12):
-            self.bus.lose = number % 3
+            self.bus.messages_to_drop = number % 3
             await self.store.put(f'k{number}', b'x')
             await asyncio.sleep(0.1)
         wanted = {f'k{number}': b'x' for number in range(12)}
         await self.wait_held(wanted, seconds=1.0)
 
-    async def test_entry_that_is_turned_away(self):
+    async def test_refused_entry(self):
         """The service refuses one entry and serves the others.
 
-        It follows all the same, and does not take the service for lost.
+        The refused entry still gets all changes, and does not report the
+        service as lost.
         """
-        away = _TurnedAway()
+        refusing = _RefusingKeyValue()
         self.add('e1')
         self.add('e2')
-        self.add('e3', away)
+        self.add('e3', refusing)
         await self.store.put('a', b'1')
         await self.wait_held({'a': b'1'})
-        self.answered['e3'].clear()
+        self.availability['e3'].clear()
         for value in (b'2', b'3', b'4'):
             await self.store.put('a', value)
             await self.wait_held({'a': value}, seconds=1.0)
-        self.assertNotIn(False, self.answered['e3'])
-        self.assertIn(True, self.answered['e3'])
+        self.assertNotIn(False, self.availability['e3'])
+        self.assertIn(True, self.availability['e3'])
 
-    async def test_entry_that_is_turned_away_and_hears_no_news(self):
-        """What passes news on is cut, but its own questions get through."""
+    async def test_refused_entry_without_updates(self):
+        """Broadcast updates are lost, but its own queries are answered."""
         self.add('e1')
-        self.add('e3', _TurnedAway())
+        self.add('e3', _RefusingKeyValue())
         await self.store.put('a', b'1')
         await self.wait_held({'a': b'1'})
-        sent = self.bus.send
+        original_send = self.bus.send
 
         def send(sender, message):
             if getattr(message, 'asker', ''):
-                sent(sender, message)
+                original_send(sender, message)
 
         self.bus.send = send
         await self.store.put('a', b'2')
         await self.wait_held({'a': b'2'}, seconds=2.5)
 
-    async def test_outage_and_return(self):
-        """The service is away for all, then back.
+    async def test_outage_and_recovery(self):
+        """The service is down for all entries, then recovers.
 
-        Each says so once it has lasted, and nobody passes old keys on as news.
+        Each entry reports the outage after a while, and none sends outdated
+        keys as an update.
         """
         for name in ('e1', 'e2'):
             self.add(name)
         await self.store.put('a', b'1')
         await self.wait_held({'a': b'1'})
-        self.store.away = True
+        self.store.is_down = True
         await self.store.put('a', b'2')
         async with asyncio.timeout(4):
-            while not all(False in notes for notes in self.answered.values()):
+            while not all(
+                False in reported for reported in self.availability.values()
+            ):
                 await asyncio.sleep(0.01)
         self.assertEqual({'a': b'1'}, self.held['e1'])
-        self.store.away = False
+        self.store.is_down = False
         await self.wait_held({'a': b'2'}, seconds=1.0)
-        self.assertTrue(all(notes[-1] for notes in self.answered.values()))
+        self.assertTrue(
+            all(reported[-1] for reported in self.availability.values())
+        )
 
-    async def test_change_of_a_large_value_is_told_as_a_difference(self):
-        """One route of 1,900 changes, and a line carries 10 Mbit/s.
+    async def test_change_of_a_large_value_is_sent_as_a_patch(self):
+        """One of 1,900 routes changes, and a network link has 10 Mbit/s.
 
-        Told whole the routes took 2 to 4 s to reach an entry, longer than a
-        change may take to be in force.
+        Guards against sending the complete value: it took 2 to 4 s to reach an
+        entry, longer than a change may take to be in force.
         """
         self.add('e1')
         self.add('e2')
         await self.store.put('routes', make_routes(1900))
         await self.wait_held({'routes': make_routes(1900)})
-        self.bus.told.clear()
+        self.bus.updates.clear()
         await self.store.put('routes', make_routes(1901))
         await self.wait_held({'routes': make_routes(1901)})
-        told = sum(len(serialise_frame([message])) for message in self.bus.told)
-        self.assertLess(told, len(make_routes(1900)) / 20)
+        sent_bytes = sum(
+            len(serialise_frame([message])) for message in self.bus.updates
+        )
+        self.assertLess(sent_bytes, len(make_routes(1900)) / 20)
 
-    async def test_difference_that_fits_nothing_here(self):
-        """An entry hears how a value changed whose version it has not got.
+    async def test_patch_to_an_unknown_version(self):
+        """An entry gets a patch to a version of a value that it does not hold.
 
-        It must not take the difference for the value, nor believe that it
-        knows all.
+        It must neither store the patch as the value nor consider its view
+        complete.
         """
-        self.add('e1', _TurnedAway())
+        self.add('e1', _RefusingKeyValue())
         before, after = make_routes(100), make_routes(101)
         patch = make_patch(before, after)
-        told = wire.StoredPair(
+        patched = wire.StoredPair(
             key='routes',
             revision=9,
             deleted=False,
-            stored=patch.fresh,
+            stored=patch.inserted,
             base=5,
             copies=[list(row) for row in patch.copies],
         )
         reader = self.bus.readers['e1']
-        reader.handle(wire.PairsTold('', 0, 9, [told]), None)
+        reader.handle(wire.PairsTold('', 0, 9, [patched]), None)
         self.assertEqual({}, self.held['e1'])
         whole = wire.StoredPair('routes', 5, False, before)
         reader.handle(wire.PairsTold('', 0, 5, [whole]), None)
-        reader.handle(wire.PairsTold('', 5, 9, [told]), None)
+        reader.handle(wire.PairsTold('', 5, 9, [patched]), None)
         self.assertEqual({'routes': after}, self.held['e1'])
 
-    async def test_who_asks_is_told_whole_values(self):
-        """An entry that the service turns away has heard of another version.
+    async def test_queries_are_answered_with_complete_values(self):
+        """An entry that the service refuses holds another version.
 
-        A difference to a version that it never had is of no use, however often
-        it asks; it kept old routes until the service took it in again.
+        Guards against answering its queries with a patch to a version that it
+        never held: it kept outdated routes until the service served it again.
         """
-        self.add('e1', _TurnedAway())
+        self.add('e1', _RefusingKeyValue())
         reader = self.bus.readers['e1']
         for since, newest, count in ((0, 5, 100), (5, 12, 102)):
             whole = wire.StoredPair('routes', newest, False, make_routes(count))
@@ -281,43 +291,43 @@
         answers = []
         link = mock.Mock(send=answers.append)
         reader.handle(wire.PairsAsk('e3', 9), link)
-        told = answers[0].pairs[0]
-        self.assertEqual(0, told.base)
-        self.assertEqual(make_routes(102), unpack(told.stored))
+        answered = answers[0].pairs[0]
+        self.assertEqual(0, answered.base)
+        self.assertEqual(make_routes(102), decompress_value(answered.stored))
 
-    async def test_entry_that_starts_late_is_told_whole_values(self):
-        """It asks with no knowledge: no difference is of use to it."""
+    async def test_new_entry_gets_complete_values(self):
+        """It holds no version that a patch could apply to."""
         self.add('e1')
         await self.store.put('routes', make_routes(100))
         await self.wait_held({'routes': make_routes(100)})
         await self.store.put('routes', make_routes(101))
         await self.wait_held({'routes': make_routes(101)})
-        self.add('e2', _TurnedAway())
+        self.add('e2', _RefusingKeyValue())
         await self.wait_held({'routes': make_routes(101)})
 
-    async def test_reading_over_a_thin_line_is_overtaken(self):
-        """All entries read the grown routes at once, some on thin lines.
+    async def test_slow_read_is_cancelled_by_an_update(self):
+        """All entries read the larger routes at once, some on slow links.
 
-        One on a fast line is done first and tells; the others must not go on
-        for seconds with what they know by then.
+        An entry on a fast link finishes first and sends an update; the others
+        must not spend seconds more on a read that is redundant by then.
         """
-        slow = _Counted()
-        slow.pause = 30
+        slow = _CountingKeyValue()
+        slow.read_seconds = 30
         await slow.put('a', b'1')
         self.add('slow', slow)
         await asyncio.sleep(0.05)
         self.add('fast')
         await self.store.put('a', b'1')
         await self.wait_held({'a': b'1'})
-        slow.pause = 0.002
-        slow.readings = 0
+        slow.read_seconds = 0.002
+        slow.read_count = 0
         async with asyncio.timeout(2):
-            while not slow.readings:
+            while not slow.read_count:
                 await asyncio.sleep(0.01)
 
 
 def make_routes(count):
-    """Return a table of routes; another count is another version."""
+    """Return a route table whose version is its number of routes."""
     routes = [
         {'name': f'route-{number}', 'path_prefix': f'/p{number}/'}
         for number in range(count)
