--- a/primrosewood/unsent.py
+++ b/primrosewood/unsent.py
@@ -1,4 +1,4 @@
-"""What callers have yet to read of answers that handlers have written."""
+"""Detection of responses that are written but not sent completely."""
 
 from aiohttp import web
 
@@ -6,11 +6,11 @@
 
 
 def has_unsent(runner: web.BaseRunner) -> bool:
-    """Tell whether part of an answer waits in this process.
+    """Return whether any connection has response data that is not sent yet.
 
-    The HTTP library and the event loop hold what a slow reader has not made
-    room for.  It ends with the process, and the caller gets the beginning of
-    an answer whose handler has long returned.
+    If a client reads slowly, the event loop buffers the response in this
+    process, even after the handler has returned. When the process exits, the
+    buffered data is lost and the client gets a truncated response.
     """
     return any(
         connection.transport is not None
