--- a/primrosewood/enginekeeper.py
+++ b/primrosewood/enginekeeper.py
@@ -13,7 +13,7 @@
 from .clock import Clock, RandomSource
 from .codec import Message
 from .enginemover import EngineMover
-from .enginepace import TokenPace
+from .enginepace import TokenTimeEstimator
 from .enginereports import EngineReports
 from .errors import BackendCutError
 from .link import Link
@@ -72,7 +72,7 @@
             ask_entries=self._send_to_some,
         )
         self._reports = EngineReports()
-        self._token_pace = TokenPace()
+        self._token_pace = TokenTimeEstimator()
         self._batch_timer: asyncio.TimerHandle | None = None
         self._reading: EngineReading | None = None
         self._engine_reachable = asyncio.Event()
@@ -192,7 +192,7 @@
         self.found = None
         self._engine_reachable.clear()
         self._identified.clear()
-        self._token_pace = TokenPace()
+        self._token_pace = TokenTimeEstimator()
         self._reports.take(_UNREACHABLE_STATE, self._clock.monotonic())
         # Without a report entries would assume that this process is lost.
         self._send_report_if_due()
