--- a/primrosewood/backendset.py
+++ b/primrosewood/backendset.py
@@ -1,4 +1,4 @@
-"""What an entry believes of the back ends that it may call directly."""
+"""An entry's view of the back ends that it may call directly."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -8,50 +8,53 @@
 
 __all__ = ('Backend', 'BackendRecord', 'BackendSet', 'EngineState')
 
-# Records that lapsed while the key-value service was away are written again
-# within two seconds of its return, by the platform's word; a little is added
-# for the listing that shows it.
+# Records that expired during an outage of the key-value service are written
+# again within 2 s of its return, as the platform documents; the rest is for
+# the listing that shows them.
 _REWRITE_SECONDS = 2.3
 # A removal this long after the service's return may still be of a record that
-# lapsed before: it may have come back for others earlier than for us.
-_DISTURBED_SECONDS = 3.0
-# A back end that refused a connection is passed over for so long while others
-# can take the work; the platform restarts a process in about a second.
+# expired during the outage, as the service may have returned earlier for other
+# clients than for this entry.
+_OUTAGE_TAIL_SECONDS = 3.0
+# A back end that refused a connection gets no calls for this long while others
+# are available; the platform restarts a process in about a second.
 _SUSPECT_SECONDS = 1.0
-# Share of the newest call in the share of calls that fail: about the last
-# three count, as a back end that is passed over gets few.
+# Weight of the newest call in the failure rate, a moving average over about
+# three calls; more would take too long, as a suspect back end gets few calls.
 _NEWEST_WEIGHT = 0.3
-# Added to that second by the share of calls that fail.  With one of three back
-# ends failing 45 in 100 of its calls for twelve seconds an entry loses 3.4
-# calls in place of 5.7 (simulated in the tests).
-_FAILING_SECONDS = 12.0
-# Names of back ends that are remembered after they left.
-_MOST_GONE = 4096
-# Reports come twice a second at the least.
-_REPORT_SECONDS = 3.0
-# Back ends of a failure domain that has just been let in again may be cold
-# before their own record says so: their records are written every 1.2 s.
-_RETURN_SECONDS = 3.0
+# Suspicion in addition to `_SUSPECT_SECONDS`, per unit of failure rate beyond
+# that of a single failure.  If one of three back ends fails 45% of its calls
+# for 12 s, an entry loses 3.4 calls with it instead of 5.7 without (simulated
+# in tests/test_balancing.py).
+_FAILURE_RATE_SECONDS = 12.0
+# Most names of removed back ends that are kept.
+_MAX_REMOVED_NAMES = 4096
+# Engines report at least twice a second; an older report is stale.
+_MAX_REPORT_AGE_SECONDS = 3.0
+# Back ends of a failure domain that has just been restored may be cold before
+# their own records say so, which are written every 1.2 s.
+_RESTORED_COLD_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class BackendRecord:
-    """A back end as it registers itself.
+    """A back end's registration in the key-value service.
 
     Attributes
     ----------
     address
         ``host:port``.
     slots
-        Calls that it works on at the same time.
+        Calls that it processes concurrently.
+    draining
+        Whether it takes no new calls.
     cold_seconds
-        How much longer it is cold, as it said when it wrote the record.
+        How much longer it is cold, counted from the write of the record.
     boot
-        Start of its process; another one under the same name remembers
-        nothing.
+        Identifies the start of its process; a restarted process has none of
+        the calls of the earlier one under the same name.
     revision
-        Write that the record stands for; a back end writes it again as long
-        as it lives.
+        Store revision of the record; a live back end keeps rewriting it.
     """
 
     name: str
@@ -67,20 +70,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """An engine's own report, read beside it.
+    """Load of an engine, as reported by the endpoint process beside it.
 
     Attributes
     ----------
+    running, queued
+        Numbers of running and of waiting generations.
     used_tokens, total_tokens
-        Memory that cannot be freed, and all of it.
+        KV cache memory that cannot be freed, and all of it.
     leaving
-        Whether the engine is about to go.
+        Whether the engine is about to leave.
     unread_tokens
-        Prompts that are being read or wait to be.
+        Prompt tokens whose prefill has not finished.
     generating
-        Generations that have made an event.
+        Number of generations that have produced an event.
     token_seconds
-        What a token took lately, 0 when nothing ran.
+        Recent seconds per decoded token, 0 when nothing ran.
     """
 
     running: int = 0
@@ -95,23 +100,27 @@
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """One back end with what this entry has open there.
+    """One back end, with this entry's calls in flight there.
 
     Attributes
     ----------
     open_calls, open_tokens
-        This entry's calls, and the tokens they may come to hold.
+        This entry's calls in flight, and the tokens they are expected to use.
     unread_tokens
-        Prompts of this entry's calls that have not had their first event.
+        Prompt tokens of this entry's calls that wait for their first event.
     unreported_tokens, unreported_prompts
-        What was opened after the last report was read: tokens in all, and
-        those of prompts.
-    found_at
-        When it announced itself, None once it is registered.
-    misdirected
+        Tokens of the calls that began after the last report: in total, and of
+        prompts only.
+    state
+        The engine's last report, None without a recent one.
+    leaving
+        Whether it is removed or known to leave, apart from report and record.
+    announced_at
+        When it was announced, None once it is registered.
+    failure_rate
+        Share of its recent calls that got no answer, a moving average.
+    misdirected_revision
         Revision of its record when another back end answered at its address.
-    failing
-        Share of its last calls that got no answer, the newest counting most.
     state_at, suspect_until, cold_until
         Monotonic seconds.
     """
@@ -127,35 +136,35 @@
     state: EngineState | None = None
     state_at: float = 0
     leaving: bool = False
-    found_at: float | None = None
-    failing: float = 0
-    misdirected: int = -1
+    announced_at: float | None = None
+    failure_rate: float = 0
+    misdirected_revision: int = -1
     suspect_until: float = 0
     cold_until: float = 0
 
     @property
     def name(self) -> str:
-        """Name under which it registered."""
+        """Name under which the back end registers."""
         return self.record.name
 
     @property
     def stopping(self) -> bool:
-        """Whether any source says that it takes no new work."""
+        """Whether any source says that it takes no new calls."""
         reported = self.state is not None and self.state.leaving
         return self.leaving or reported or self.record.draining
 
     @property
-    def misplaced(self) -> bool:
-        """Whether its record stands for a back end that is not there.
+    def record_is_stale(self) -> bool:
+        """Whether another back end answers at the address of its record.
 
-        After a loss of power records stand until they lapse, and another
-        start answers at their addresses.
+        After a power failure, records remain until they expire, while newly
+        started back ends already use their addresses.
         """
-        return self.misdirected >= self.record.revision
+        return self.misdirected_revision >= self.record.revision
 
     @property
-    def unread_ahead(self) -> int:
-        """Tokens of prompts that are read before a new one."""
+    def prefill_backlog(self) -> int:
+        """Prompt tokens that the engine prefills before those of a new call."""
         if self.state is None:
             return self.unread_tokens
         reported = self.state.unread_tokens + self.unreported_prompts
@@ -166,55 +175,64 @@
         return None if self.state is None else now - self.state_at
 
     def take_state(self, state: EngineState, now: float) -> None:
-        """Note the engine's own report."""
+        """Replace the engine's report by a newer one."""
         self.state_at = now
         self._replace_state(state)
 
     def drop_old_state(self, now: float) -> bool:
-        """Forget a report that no newer one follows; tell whether it was.
+        """Drop a report that is too old; return whether it was dropped.
 
-        What was opened since is added to a report, so that an old one would
-        make its engine look ever fuller.  A leave is never taken back.
+        Later calls are added to the last report, so that an engine with a
+        stale report would look fuller and fuller.  A report that the engine
+        is leaving stays in force.
         """
-        old = now > self.state_at + _REPORT_SECONDS
-        if self.state is None or not old or self.state.leaving:
+        expired = now > self.state_at + _MAX_REPORT_AGE_SECONDS
+        if self.state is None or not expired or self.state.leaving:
             return False
         self._replace_state(None)
         return True
 
-    def note_misdirected(self) -> None:
-        """Pass it over until its record is written again."""
-        self.misdirected = self.record.revision
+    def mark_misdirected(self) -> None:
+        """Send no calls there until its record is written again."""
+        self.misdirected_revision = self.record.revision
 
-    def suspect(self, now: float) -> None:
-        """Pass it over for a moment, as it did not take a call."""
+    def mark_suspect(self, now: float) -> None:
+        """Avoid it for a moment, as it did not accept a call."""
         self.suspect_until = max(self.suspect_until, now + _SUSPECT_SECONDS)
 
-    def note_failure(self, now: float) -> None:
-        """Pass it over for a while after a call that got no answer.
+    def record_failure(self, now: float) -> None:
+        """Avoid it for a while after a call that got no answer.
 
-        One that fails part of its calls while its records and reports are
-        good shows in nothing else; it is passed over the longer the more of
-        its last calls failed.
+        Records and reports do not reveal a back end that fails only some of
+        its calls.  The more of its recent calls failed, the longer it is
+        avoided.
         """
-        self.failing += (1 - self.failing) * _NEWEST_WEIGHT
-        more = max(0, self.failing - _NEWEST_WEIGHT) * _FAILING_SECONDS
-        self.suspect_until = now + _SUSPECT_SECONDS + more
+        self.failure_rate += (1 - self.failure_rate) * _NEWEST_WEIGHT
+        extra = (
+            max(0, self.failure_rate - _NEWEST_WEIGHT) * _FAILURE_RATE_SECONDS
+        )
+        self.suspect_until = now + _SUSPECT_SECONDS + extra
 
-    def note_success(self) -> None:
-        """Note that a call was answered."""
-        self.failing -= self.failing * _NEWEST_WEIGHT
+    def record_success(self) -> None:
+        """Lower the failure rate after a call that was answered."""
+        self.failure_rate -= self.failure_rate * _NEWEST_WEIGHT
 
     def _replace_state(self, state: EngineState | None) -> None:
-        # What was opened before the report was made is part of it.
+        # The new report includes the calls that began before it.
         self.state = state
         self.unreported_tokens = 0
         self.unreported_prompts = 0
 
 
 @dataclass(slots=True)
-class _Disturbance:
-    """When the key-value service last failed, and answered again."""
+class _StoreAvailability:
+    """When the key-value service last failed and when it recovered.
+
+    Attributes
+    ----------
+    failed_at, answering_since
+        Monotonic seconds.
+    """
 
     failed_at: float = float('-inf')
     answering_since: float = 0
@@ -227,17 +245,21 @@
 
     Attributes
     ----------
+    entries
+        Number of entries that share the limits of cold back ends.
     evacuated
-        Failure domains that operators have taken out.
+        Failure domains that operators have taken out of service.
     """
 
     entries: EntryCount
     evacuated: frozenset[str] = frozenset()
     _backends: dict[str, Backend] = field(default_factory=dict)
     _missing: set[str] = field(default_factory=set)
-    _gone: OrderedDict[str, None] = field(default_factory=OrderedDict)
-    _returned: dict[str, float] = field(default_factory=dict)
-    _disturbance: _Disturbance = field(default_factory=_Disturbance)
+    _removed_names: OrderedDict[str, None] = field(default_factory=OrderedDict)
+    _restored_at: dict[str, float] = field(default_factory=dict)
+    _store_availability: _StoreAvailability = field(
+        default_factory=_StoreAvailability
+    )
 
     @property
     def backends(self) -> list[Backend]:
@@ -245,110 +267,117 @@
         return list(self._backends.values())
 
     def take(self, record: BackendRecord, now: float) -> Backend:
-        """Note a back end's record."""
+        """Add or update a back end by its record, and return it."""
         self._missing.discard(record.name)
         known = self._backends.get(record.name)
-        announced = known is not None and known.found_at is not None
+        announced = known is not None and known.announced_at is not None
         if known is None or not (announced or known.record.boot == record.boot):
             known = Backend(record, ColdLimit(self.entries))
             self._backends[record.name] = known
         known.record = record
-        known.found_at = None
+        known.announced_at = None
         if record.cold_seconds:
             known.cold_until = now + record.cold_seconds
         return known
 
     def announce(self, record: BackendRecord, now: float) -> bool:
-        """Note a back end that announces itself; tell whether it is new.
+        """Add a back end that announces itself; return whether it is new.
 
-        While the key-value service is away nothing can register, and engines
-        are replaced all the same: after eight seconds two of five were left,
-        which held seven streams too many when the next one went.
+        During an outage of the key-value service new engines cannot register,
+        while old ones still leave.  Without announcements, two of five engines
+        were left after 8 s, and held seven streams too many when the next one
+        left.
         """
-        if record.name in self._backends or record.name in self._gone:
+        if record.name in self._backends or record.name in self._removed_names:
             return False
-        found = Backend(record, ColdLimit(self.entries), found_at=now)
+        found = Backend(record, ColdLimit(self.entries), announced_at=now)
         found.cold_until = now + record.cold_seconds
         self._backends[record.name] = found
         return True
 
     def remove(self, name: str, now: float) -> bool:
-        """Note that a record is gone; tell whether it counts at once.
+        """Handle the removal of a record; return whether it applies at once.
 
-        A record that is removed in quiet times belongs to a back end that
-        leaves without saying so.  One that is gone during or after an outage
-        of the key-value service may only have lapsed: its back end serves on,
-        and to drop all of them would leave callers without any.
+        While the key-value service is available, a removed record belongs to
+        a back end that has left.  During or just after an outage the record
+        may only have expired while its back end still serves; dropping all
+        such back ends would leave callers with none.
         """
         if name not in self._backends:
             return True
-        if self._is_disturbed(now):
+        if self._store_failed_lately(now):
             self._missing.add(name)
             return False
         self._drop(name)
         return True
 
     def note_store(self, answered: bool, now: float) -> None:
-        """Note whether the key-value service answered a call."""
-        seen = self._disturbance
-        if answered and not seen.answering:
-            seen.answering_since = now
+        """Record whether the key-value service answered a call."""
+        availability = self._store_availability
+        if answered and not availability.answering:
+            availability.answering_since = now
         if not answered:
-            seen.failed_at = now
-        seen.answering = answered
+            availability.failed_at = now
+        availability.answering = answered
 
     def settle(self, now: float) -> list[str]:
-        """Drop what has stayed missing after an outage; return the names."""
-        seen = self._disturbance
-        if not seen.answering:
+        """Drop back ends still unregistered after an outage.
+
+        Returns
+        -------
+        list[str]
+            Names of the back ends that were dropped.
+        """
+        availability = self._store_availability
+        if not availability.answering:
             return []
-        settled = now - _REWRITE_SECONDS
-        gone = []
-        if seen.answering_since <= settled:
-            gone = sorted(self._missing)
-            gone += self._unregistered(settled)
-        for name in gone:
+        cutoff = now - _REWRITE_SECONDS
+        dropped = []
+        if availability.answering_since <= cutoff:
+            dropped = sorted(self._missing)
+            dropped += self._unregistered(cutoff)
+        for name in dropped:
             self._drop(name)
-        return gone
+        return dropped
 
     def take_out(self, domain: str) -> bool:
-        """Note that a failure domain is out; tell whether it was in."""
+        """Evacuate a failure domain; return whether it was in service."""
         was_in = domain not in self.evacuated
         self.evacuated |= {domain}
         return was_in
 
     def let_in(self, domain: str, now: float) -> bool:
-        """Note that a failure domain is back; tell whether it was out."""
+        """Restore a failure domain; return whether it was evacuated."""
         was_out = domain in self.evacuated
         if was_out:
-            self._returned[domain] = now
+            self._restored_at[domain] = now
             self.evacuated -= {domain}
         return was_out
 
     def find(self, name: str) -> Backend | None:
-        """Return a back end by its name."""
+        """Return the back end with a name, None if unknown."""
         return self._backends.get(name)
 
     def find_address(self, address: str) -> Backend | None:
-        """Return the back end that registered an address last."""
+        """Return the last back end added with an address, None if unknown."""
         for backend in reversed(self._backends.values()):
             if backend.record.address == address:
                 return backend
         return None
 
     def usable(self, service: str) -> list[Backend]:
-        """Return the back ends of a service that may get new work."""
+        """Return the back ends of a service that may get new calls."""
         return [
             backend
             for backend in self._backends.values()
             if backend.record.service == service
             and not backend.stopping
-            and not backend.misplaced
+            and not backend.record_is_stale
             and backend.record.failure_domain not in self.evacuated
         ]
 
     def token_seconds(self, service: str) -> float:
-        """Return what a token takes in the mean of a service's engines."""
+        """Return the mean seconds per token over a service's engines."""
         found = [
             backend.state.token_seconds
             for backend in self.usable(service)
@@ -357,30 +386,39 @@
         return sum(found) / len(found) if found else TOKEN_SECONDS
 
     def is_cold(self, backend: Backend, now: float) -> bool:
-        """Tell whether a back end is cold, or may be."""
-        returned = self._returned.get(backend.record.failure_domain)
-        recent = returned is not None and now < returned + _RETURN_SECONDS
+        """Return whether a back end is cold or may be."""
+        restored_at = self._restored_at.get(backend.record.failure_domain)
+        recent = (
+            restored_at is not None
+            and now < restored_at + _RESTORED_COLD_SECONDS
+        )
         return recent or now < backend.cold_until
 
-    def _unregistered(self, settled: float) -> list[str]:
-        """Return what announced itself and has not registered since."""
+    def _unregistered(self, cutoff: float) -> list[str]:
+        """Return names announced by the cutoff and not registered since."""
         return [
             backend.name
             for backend in self._backends.values()
-            if backend.found_at is not None and backend.found_at <= settled
+            if backend.announced_at is not None
+            and backend.announced_at <= cutoff
         ]
 
-    def _is_disturbed(self, now: float) -> bool:
-        seen = self._disturbance
-        last = max(seen.failed_at, seen.answering_since)
-        return not seen.answering or now < last + _DISTURBED_SECONDS
+    def _store_failed_lately(self, now: float) -> bool:
+        availability = self._store_availability
+        last_disturbed_at = max(
+            availability.failed_at, availability.answering_since
+        )
+        return (
+            not availability.answering
+            or now < last_disturbed_at + _OUTAGE_TAIL_SECONDS
+        )
 
     def _drop(self, name: str) -> None:
         self._missing.discard(name)
         backend = self._backends.pop(name)
-        # It may announce itself until it has gone.
-        self._gone[name] = None
-        if len(self._gone) > _MOST_GONE:
-            self._gone.popitem(last=False)
-        # Whoever still holds it must see that it takes no new work.
+        # It may still announce itself until it has left.
+        self._removed_names[name] = None
+        if len(self._removed_names) > _MAX_REMOVED_NAMES:
+            self._removed_names.popitem(last_disturbed_at=False)
+        # Calls in progress that refer to it must see that it is leaving.
         backend.leaving = True
--- a/primrosewood/balancing.py
+++ b/primrosewood/balancing.py
@@ -1,4 +1,4 @@
-"""Choice of a back end for a direct call, from a view that lags."""
+"""Load balancing of direct calls, by reports that lag behind the engines."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 from .backendset import Backend
 from .clock import RandomSource
 from .directcalls import Leg
-from .enginepace import PROMPT_TOKENS_A_SECOND, TOKEN_SECONDS
+from .enginepace import PROMPT_TOKENS_PER_SECOND, TOKEN_SECONDS
 
 __all__ = (
     'Balancer',
@@ -18,119 +18,122 @@
 )
 
 
-# Scores are seconds that the choice may cost the caller.
+# Scores are the expected cost of a choice to the caller, in seconds.
 
-# A call between failure domains takes two milliseconds longer and pays for its
-# bytes: half a hundredth of what a stream on time is worth, against the tenth
-# of a second of a busy engine.
-_DISTANCE_SECONDS = 0.03
-# Scores that differ by less are taken as equal and drawn by lot: entries that
-# read the same reports must not all pick the same back end.
+# A call to another failure domain takes 2 ms longer and its traffic is paid
+# for, at 0.5% of the value of a stream on time; a busy engine costs 0.1 s.
+_CROSS_DOMAIN_SECONDS = 0.03
+# Scores that differ by less count as equal, and one of the back ends is drawn
+# at random: entries that see the same reports must not all pick the same one.
 _EQUAL_SECONDS = 0.02
-# Steps that read part of a prompt take twice as long, for all generations on
-# that engine.
+# Steps that prefill part of a prompt take twice as long, for all generations
+# on that engine.
 _DELAYED_SHARE = 0.5
-# What an answer that is late or lost costs against the work on it.
+# Cost of a late or lost answer, in multiples of the time to generate it.
 _LOSS_WEIGHT = 5
-# How steeply the chance of a late first event grows towards the objective.
-_LATE_POWER = 4
-# Memory is what engines run out of first.  Above the lower share a generation
-# may preempt another one, which is then read again; at the upper one it does,
-# as guesses of lengths are often too short.
+# Steepness of the rise in the risk of a late first event as its expected time
+# approaches the objective.
+_LATE_EXPONENT = 4
+# KV cache memory is the first resource that engines exhaust.  Above the lower
+# share of use a generation may preempt another one, whose prompt is then
+# prefilled again; at the upper share it does.  The upper share exceeds 1
+# because the tokens are estimates, which are often too low.
 _CROWDED_SHARE = 0.75
 _FULL_SHARE = 1.1
-# Chance that a generation on a full engine is cut when that engine leaves: its
-# notice is long enough for copies of part of its memory only.
+# Risk that a generation on a full engine is cut when that engine leaves: the
+# notice period is long enough to copy only part of its memory.
 _LEAVE_RISK = 0.15
-# A plain service that works on as many calls as it has slots queues the next;
-# calls take about this long there.
-_SERVICE_SECONDS = 0.1
+# Usual duration of a plain call.  A back end with all slots in use queues the
+# next call for about this long.
+_PLAIN_CALL_SECONDS = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class BookedTokens:
-    """Tokens that a generation may come to hold."""
+    """KV cache tokens that a generation is expected to use."""
 
     prompt: int
     answer: int
 
     @property
     def total(self) -> int:
-        """Both together."""
+        """Tokens of the prompt and the answer together."""
         return self.prompt + self.answer
 
 
 class Booking:
-    """A call's part in what its back end is reckoned to hold.
+    """Load that a call in flight adds to its back end, as this entry sees it.
 
     Parameters
     ----------
     tokens
-        None for calls of plain services.
+        None for calls to plain services.
 
     Attributes
     ----------
     first_event_at
-        When the first event came in monotonic seconds, None before.
+        When the first event arrived, in monotonic seconds; None before.
     reads_prompt
-        Whether the back end reads a prompt for the call.
+        Whether the back end prefills a prompt for the call.
     """
 
     def __init__(self, leg: Leg, tokens: BookedTokens | None) -> None:
-        """Count the call."""
+        """Add the call to the counters of its back end."""
         backend = leg.backend
         self.backend = backend
         self.first_event_at: float | None = None
-        self._total = tokens.total if tokens else 0
-        # The prompt of a moved generation need not be read again.
+        self._total_tokens = tokens.total if tokens else 0
+        # A moved generation brings its KV cache and needs no prefill.
         self.reads_prompt = tokens is not None and leg.resumption is None
-        self._unread = tokens.prompt if self.reads_prompt else 0
+        self._unread_tokens = tokens.prompt if self.reads_prompt else 0
         backend.open_calls += 1
-        backend.unread_tokens += self._unread
-        backend.unreported_prompts += self._unread
-        backend.open_tokens += self._total
-        backend.unreported_tokens += self._total
+        backend.unread_tokens += self._unread_tokens
+        backend.unreported_prompts += self._unread_tokens
+        backend.open_tokens += self._total_tokens
+        backend.unreported_tokens += self._total_tokens
 
     @property
     def answered(self) -> bool:
-        """Whether any of the answer has come."""
+        """Whether any event of the answer has arrived."""
         return self.first_event_at is not None
 
     def note_event(self, now: float) -> None:
-        """Note an event; with the first one the prompt has been read."""
+        """Record an event; the first one shows that the prefill is done."""
         if self.first_event_at is None:
             self.first_event_at = now
-            self._give_back_prompt()
+            self._release_prompt()
 
     def release(self) -> None:
-        """Count the call no longer."""
-        self._give_back_prompt()
+        """Remove the call from the counters of its back end."""
+        self._release_prompt()
         self.backend.open_calls -= 1
-        self.backend.open_tokens -= self._total
+        self.backend.open_tokens -= self._total_tokens
 
-    def _give_back_prompt(self) -> None:
-        self.backend.unread_tokens -= self._unread
-        self._unread = 0
+    def _release_prompt(self) -> None:
+        self.backend.unread_tokens -= self._unread_tokens
+        self._unread_tokens = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Placing:
-    """What a choice may look at.
+    """Inputs to the choice of a back end for one call.
 
     Attributes
     ----------
     failure_domain
-        Where the entry stands.
+        Failure domain of the entry.
+    now
+        Monotonic seconds.
     tokens
-        None for calls of plain services.
+        None for calls to plain services.
     memory_tokens
-        Memory of one engine, for engines that have not reported.
+        KV cache tokens of one engine, for engines that have not reported.
     objective
-        Seconds within which the first event is due.
-    reading_pace
-        Prompt tokens that the service's engines read in a second.
+        Seconds within which the first event is due, 0 for no objective.
+    prompt_rate
+        Prompt tokens that an engine of the service prefills per second.
     token_seconds
-        What a token takes in the mean, for engines that have not reported.
+        Mean seconds per decoded token, for engines that have not reported.
     """
 
     failure_domain: str
@@ -138,89 +141,109 @@
     tokens: BookedTokens | None = None
     memory_tokens: int = 0
     objective: float = 0
-    reading_pace: float = PROMPT_TOKENS_A_SECOND
+    prompt_rate: float = PROMPT_TOKENS_PER_SECOND
     token_seconds: float = TOKEN_SECONDS
 
 
 class Balancer(Protocol):
-    """A way to choose; ``usable`` is never empty."""
+    """Policy that chooses among back ends; ``usable`` is never empty."""
 
-    def choose(self, usable: Sequence[Backend], placing: Placing) -> Backend:
+    def choose(self, usable: Sequence[Backend], context: Placing) -> Backend:
         """Return the back end that gets the call."""
 
 
 class LeastPressed:
-    """The back end with the most room for what the call may come to hold.
+    """Chooses the back end with the lowest expected cost to the caller.
 
-    Spreading by tokens and not by calls keeps few generations on each engine,
-    so that fewer have to be moved when one is taken away.
+    Balancing by tokens instead of calls keeps few generations on each engine,
+    so that fewer must be moved when an engine is taken away.  Back ends under
+    suspicion are chosen only if there are no others.
     """
 
     def __init__(self, random: RandomSource) -> None:
-        """Keep the random source that breaks ties."""
+        """Start with the random source that breaks ties."""
         self._random = random
 
-    def choose(self, usable: Sequence[Backend], placing: Placing) -> Backend:
+    def choose(self, usable: Sequence[Backend], context: Placing) -> Backend:
         """Return the back end that gets the call."""
-        sound = [each for each in usable if each.suspect_until <= placing.now]
-        scored = [(_score(each, placing), each) for each in (sound or usable)]
-        best = min(score for score, _each in scored)
-        near = [
-            each for score, each in scored if score <= best + _EQUAL_SECONDS
+        healthy = [
+            backend
+            for backend in usable
+            if backend.suspect_until <= context.now
         ]
-        return near[int(self._random.random() * len(near))]
+        scored = [
+            (_score(backend, context), backend)
+            for backend in (healthy or usable)
+        ]
+        best = min(score for score, _backend in scored)
+        tied = [
+            backend
+            for score, backend in scored
+            if score <= best + _EQUAL_SECONDS
+        ]
+        return tied[int(self._random.random() * len(tied))]
 
 
-def _score(backend: Backend, placing: Placing) -> float:
-    if placing.tokens is None:
+def _score(backend: Backend, context: Placing) -> float:
+    if context.tokens is None:
         seconds = _service_seconds(backend)
     else:
-        seconds = _engine_seconds(backend, placing)
-    if backend.record.failure_domain != placing.failure_domain:
-        seconds += _DISTANCE_SECONDS
+        seconds = _engine_seconds(backend, context)
+    if backend.record.failure_domain != context.failure_domain:
+        seconds += _CROSS_DOMAIN_SECONDS
     return seconds
 
 
 def _service_seconds(backend: Backend) -> float:
     slots = max(1, backend.record.slots)
-    return _SERVICE_SECONDS * backend.open_calls / slots
+    return _PLAIN_CALL_SECONDS * backend.open_calls / slots
 
 
-def _engine_seconds(backend: Backend, placing: Placing) -> float:
-    tokens = placing.tokens
+def _engine_seconds(backend: Backend, context: Placing) -> float:
+    tokens = context.tokens
     state = backend.state
-    token_seconds = placing.token_seconds
+    token_seconds = context.token_seconds
     generating = backend.open_calls
     if state is not None:
         token_seconds = state.token_seconds or token_seconds
         generating = state.generating
-    first = (backend.unread_ahead + tokens.prompt) / placing.reading_pace
-    whole = first + tokens.answer * token_seconds
-    delayed = _DELAYED_SHARE * generating * tokens.prompt / placing.reading_pace
-    risk = _late_risk(first, placing.objective)
-    risk += _memory_risk(_memory_share(backend, placing))
-    return whole * (1 + _LOSS_WEIGHT * risk) + delayed
-
-
-def _late_risk(first: float, objective: float) -> float:
-    """Return the chance that the first event comes late."""
+    first_event_seconds = (
+        backend.prefill_backlog + tokens.prompt
+    ) / context.prompt_rate
+    answer_seconds = first_event_seconds + tokens.answer * token_seconds
+    added_delay = (
+        _DELAYED_SHARE * generating * tokens.prompt / context.prompt_rate
+    )
+    risk = _late_risk(first_event_seconds, context.objective)
+    risk += _memory_risk(_memory_share(backend, context))
+    return answer_seconds * (1 + _LOSS_WEIGHT * risk) + added_delay
+
+
+def _late_risk(first_event_seconds: float, objective: float) -> float:
+    """Return the risk that the first event is late."""
     if not objective:
         return 0
-    return (first / objective) ** _LATE_POWER
+    return (first_event_seconds / objective) ** _LATE_EXPONENT
 
 
 def _memory_risk(share: float) -> float:
-    """Return the chance that the generation is preempted, or not moved."""
-    over = max(0, share - _CROWDED_SHARE) / (_FULL_SHARE - _CROWDED_SHARE)
-    return _LEAVE_RISK * share**2 + over**2
+    """Return the risk of a preemption, or of a cut when the engine leaves."""
+    excess = max(0, share - _CROWDED_SHARE) / (_FULL_SHARE - _CROWDED_SHARE)
+    return _LEAVE_RISK * share**2 + excess**2
+
 
+def _memory_share(backend: Backend, context: Placing) -> float:
+    """Return the share of memory that would be in use with the call.
 
-def _memory_share(backend: Backend, placing: Placing) -> float:
-    """Return the share of memory that would be in use with the call."""
-    booked = backend.open_tokens
-    total = placing.memory_tokens
+    The larger of this entry's own reservations and the engine's report
+    counts, as calls since the report are missing from it.
+    """
+    reserved_tokens = backend.open_tokens
+    total = context.memory_tokens
     state = backend.state
     if state is not None and state.total_tokens:
         total = state.total_tokens
-        booked = max(booked, state.used_tokens + backend.unreported_tokens)
-    return (booked + placing.tokens.total) / max(1, total)
+        reserved_tokens = max(
+            reserved_tokens, state.used_tokens + backend.unreported_tokens
+        )
+    return (reserved_tokens + context.tokens.total) / max(1, total)
--- a/primrosewood/calllimits.py
+++ b/primrosewood/calllimits.py
@@ -1,7 +1,8 @@
-"""Limits that back ends name for the calls of all entries together.
+"""Rate limits that back ends set for the calls of all entries together.
 
-An entry tells the others what a back end said, and each call that it sends
-there.  Calls that it cannot tell count as if every entry had sent as many.
+An entry reports to the others the limit that a back end states and the calls
+that it sends there.  If a report cannot be sent, the entry assumes that every
+other entry has sent as many calls as itself.
 """
 
 import asyncio
@@ -16,19 +17,19 @@
 
 __all__ = ('CallLimits',)
 
-# Calls that are sent within this time are told together.
-_GATHER_SECONDS = 0.01
+# Calls within this time are reported in one message.
+_BATCH_SECONDS = 0.01
 _MILLISECONDS = 1000
 
 
 class CallLimits:
-    """Keeps what back ends say of their limits, with the other entries.
+    """Tracks the rate limits of back ends together with the other entries.
 
     Parameters
     ----------
     send
-        Sends a message to some process that passes it on to the other
-        entries; False when there is none.
+        Sends a message to a process that forwards it to the other entries;
+        returns False if none is connected.
     """
 
     def __init__(
@@ -39,47 +40,49 @@
         random: RandomSource,
         send: Callable[[Message], bool],
     ) -> None:
-        """Start without limits."""
+        """Start with no calls to report."""
         self._backends = backends
         self._entries = entries
         self._clock = clock
         self._random = random
         self._send = send
-        self._untold: dict[Backend, int] = {}
+        self._unreported_calls: dict[Backend, int] = {}
 
     def note_answer(
         self, backend: Backend, rate: float | None, sent_at: float
     ) -> None:
-        """Note what a back end's answer says.
+        """Update the limit of a back end from its answer to a call.
 
         Parameters
         ----------
         backend
             The back end that answered.
         rate
-            Calls a second, None for no limit.
+            Calls per second that the answer states, None for no limit.
         sent_at
             When the call was sent, in monotonic seconds.
         """
-        # Answers may overtake each other: only one to a call that was sent
-        # after the limit was heard of can show that it is over.
-        if rate is None and sent_at <= backend.call_limit.heard_at:
+        # Answers may overtake each other: only the answer to a call that was
+        # sent after the limit was stated can show that the limit is lifted.
+        if rate is None and sent_at <= backend.call_limit.reported_at:
             return
-        if self._take(backend, rate, age=0):
-            self._tell_soon(backend, calls=0)
+        if self._update_limit(backend, rate, age=0):
+            self._schedule_report(backend, calls=0)
 
     def note_call(self, backend: Backend) -> None:
-        """Count a call that is sent to a back end."""
+        """Count a call to a back end and report it to the other entries."""
         if backend.call_limit.rate is not None:
             self._count(backend, calls=1)
-            self._tell_soon(backend, calls=1)
+            self._schedule_report(backend, calls=1)
 
-    def take_told(self, told: wire.LimitTold) -> None:
-        """Take what another entry heard, and count what it sent."""
-        backend = self._backends.find(told.endpoint)
+    def take_told(self, report: wire.LimitTold) -> None:
+        """Apply another entry's report of a limit and of its calls."""
+        backend = self._backends.find(report.endpoint)
         if backend is not None:
-            self._take(backend, told.rate, told.age_ms / _MILLISECONDS)
-            self._count(backend, told.calls)
+            self._update_limit(
+                backend, report.rate, report.age_ms / _MILLISECONDS
+            )
+            self._count(backend, report.calls)
 
     def _count(self, backend: Backend, calls: int) -> None:
         limit = backend.call_limit
@@ -89,9 +92,11 @@
     def _hold_back(self, limit: CallLimit) -> None:
         limit.hold_back(self._random.random(), self._entries.count)
 
-    def _take(self, backend: Backend, rate: float | None, age: float) -> bool:
+    def _update_limit(
+        self, backend: Backend, rate: float | None, age: float
+    ) -> bool:
         now = self._clock.monotonic()
-        before = backend.call_limit.rate
+        previous_rate = backend.call_limit.rate
         changed = backend.call_limit.take(rate, now - age, now)
         if changed:
             self._hold_back(backend.call_limit)
@@ -99,32 +104,34 @@
                 'limit_lifted' if rate is None else 'limit_named',
                 endpoint=backend.name,
                 rate=rate,
-                before=before,
+                before=previous_rate,
                 age=age,
             )
         return changed
 
-    def _tell_soon(self, backend: Backend, calls: int) -> None:
-        if not self._untold:
+    def _schedule_report(self, backend: Backend, calls: int) -> None:
+        if not self._unreported_calls:
             loop = asyncio.get_running_loop()
-            loop.call_later(_GATHER_SECONDS, self._tell_gathered)
-        self._untold[backend] = self._untold.get(backend, 0) + calls
+            loop.call_later(_BATCH_SECONDS, self._send_reports)
+        self._unreported_calls[backend] = (
+            self._unreported_calls.get(backend, 0) + calls
+        )
 
-    def _tell_gathered(self) -> None:
-        untold, self._untold = self._untold, {}
-        for backend, calls in untold.items():
-            self._tell(backend, calls)
+    def _send_reports(self) -> None:
+        unreported, self._unreported_calls = self._unreported_calls, {}
+        for backend, calls in unreported.items():
+            self._send_report(backend, calls)
 
-    def _tell(self, backend: Backend, calls: int) -> None:
+    def _send_report(self, backend: Backend, calls: int) -> None:
         now = self._clock.monotonic()
         limit = backend.call_limit
-        heard = self._send(
+        delivered = self._send(
             wire.LimitTold(
                 endpoint=backend.name,
                 rate=limit.rate,
-                age_ms=int((now - limit.heard_at) * _MILLISECONDS),
+                age_ms=int((now - limit.reported_at) * _MILLISECONDS),
                 calls=calls,
             )
         )
-        if not heard:
+        if not delivered:
             self._count(backend, calls * (self._entries.count - 1))
--- a/primrosewood/callplacement.py
+++ b/primrosewood/callplacement.py
@@ -1,7 +1,7 @@
-"""Where a direct call goes, what that is reckoned to cost, and what is next.
+"""Placement of direct calls: choice of a back end, retries and failures.
 
-One object for all calls of an entry: it keeps the budgets of repeats and the
-shares of cold limits, which hold over calls.
+An entry has one `CallPlacement` for all of its calls, as retry budgets and
+the limits of cold back ends apply to their sum.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from .callprogress import CallProgress
 from .clock import Clock, RandomSource
 from .directcalls import DirectCall, Leg
-from .enginepace import ReadingPace
+from .enginepace import PromptRateEstimator
 from .errors import (
     BackendCutError,
     ErrorKind,
@@ -30,26 +30,32 @@
 
 __all__ = ('CallPlacement', 'PlacementTools', 'RelayRules')
 
-# Sends of one call, whatever the budget: a call that three back ends refused
-# is better off with an honest refusal and a time to come back.
-_MOST_SENDS = 4
-# Callers come back spread over this span, in seconds.
-_RETURN_SECONDS = 0.5
-_RETURN_SPREAD = 0.5
-# Objectives without a sign of an answer, after which a call that is given up
-# counts against its back end; callers abandon a silent stream then.
+# Most sends of one call, whatever the retry budget allows.  A call that three
+# back ends refused is better served by an error with a Retry-After time.
+_MAX_SENDS = 4
+# Retry-After of a failed call: a fixed part and random jitter, so that callers
+# that failed together do not retry together.
+_RETRY_AFTER_SECONDS = 0.5
+_RETRY_JITTER_SECONDS = 0.5
+# A cancelled call counts as a failure of its back end after this many times
+# the route's objective without any event; callers abandon a silent stream
+# about then.
 _SILENT_OBJECTIVES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class RelayRules:
-    """Bounds that hold for all entries together.
+    """Limits that apply to the sum over all entries.
 
     Attributes
     ----------
+    failure_domain
+        Failure domain of this entry.
+    repeats
+        Limit on retries for each service.
     cold_factor, cold_slack
-        A cold back end gets at most its own rate times the factor, plus the
-        slack, in any second.
+        A cold back end gets at most its cold rate times the factor, plus the
+        slack, in calls per second.
     """
 
     failure_domain: str
@@ -58,25 +64,28 @@
     cold_slack: float = 5
 
 
-def _ignore(_backend: Backend, _name: str, _unread: int, _whole: int) -> None:
-    """Announce nothing."""
+def _announce_nothing(
+    _backend: Backend, _name: str, _prompt_tokens: int, _total_tokens: int
+) -> None:
+    """Ignore an announcement; the default of `announce`."""
 
 
 def _count_nothing(_backend: Backend) -> None:
-    """Count no call."""
+    """Ignore a call; the default of `count_call`."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementTools:
-    """What placement works with.
+    """Collaborators of `CallPlacement`.
 
     Attributes
     ----------
     announce
-        Tells the process beside an engine which call is on its way there:
-        its name, and the tokens to be read and in all.
+        Announces a call to the endpoint process beside its engine: the back
+        end, the call's name, its prompt tokens to prefill and its expected
+        total tokens.
     count_call
-        Counts a call against the limit that its back end names.
+        Counts a call against the rate limit that its back end has set.
     """
 
     rules: RelayRules
@@ -88,29 +97,29 @@
     clock: Clock
     metrics: Metrics
     lengths: LengthBook = field(default_factory=LengthBook)
-    announce: Callable[[Backend, str, int, int], None] = _ignore
+    announce: Callable[[Backend, str, int, int], None] = _announce_nothing
     count_call: Callable[[Backend], None] = _count_nothing
 
 
 class CallPlacement:
-    """Chooses a back end for each call, and decides on repeats."""
+    """Chooses a back end for each call and decides on retries."""
 
-    def __init__(self, tools: PlacementTools) -> None:
-        """Take the tools."""
-        self._tools = tools
-        self._rules = tools.rules
-        self._budgets: dict[str, RepeatBudget] = {}
-        self._reading: dict[str, ReadingPace] = {}
+    def __init__(self, dependencies: PlacementTools) -> None:
+        """Start with empty retry budgets and default prompt rates."""
+        self._deps = dependencies
+        self._rules = dependencies.rules
+        self._repeat_budgets: dict[str, RepeatBudget] = {}
+        self._prompt_rates: dict[str, PromptRateEstimator] = {}
 
     def take_rules(self, rules: RelayRules) -> None:
-        """Follow changed bounds from now on."""
+        """Apply changed limits; the calls and retries so far still count."""
         self._rules = rules
-        for budget in self._budgets.values():
+        for budget in self._repeat_budgets.values():
             budget.rule = rules.repeats
 
-    def note_arrival(self, call: DirectCall) -> None:
-        """Count a caller's request."""
-        self._budget(call.service).note_request(self._now())
+    def record_arrival(self, call: DirectCall) -> None:
+        """Count a caller's request towards the retry budget."""
+        self._repeat_budget(call.service).record_request(self._now())
 
     def choose(self, progress: CallProgress) -> Backend:
         """Return the back end that gets a call.
@@ -118,16 +127,16 @@
         Raises
         ------
         RequestFailedError
-            There is none that may get it.
+            No back end may get it now.
         """
         call = progress.call
         now = self._now()
-        candidates = self._candidates(progress, now)
+        candidates = self._list_candidates(progress, now)
         if not candidates:
-            raise self._refuse(progress, now)
-        placing = self._placing(call, now)
-        chosen = self._tools.balancer.choose(candidates, placing)
-        progress.others = len(candidates) - 1
+            raise self._make_refusal(progress, now)
+        context = self._make_context(call, now)
+        chosen = self._deps.balancer.choose(candidates, context)
+        progress.alternatives = len(candidates) - 1
         log_decision(
             'sent',
             request=call.name,
@@ -135,9 +144,9 @@
             organisation=call.organisation,
             endpoint=chosen.name,
             boot=chosen.record.boot,
-            version=self._tools.tables.version,
+            version=self._deps.tables.version,
             seen=len(candidates),
-            tokens=placing.tokens.total if placing.tokens else None,
+            tokens=context.tokens.total if context.tokens else None,
             open=chosen.open_calls,
             report_age=chosen.report_age(now),
             limit=chosen.call_limit.rate,
@@ -145,22 +154,22 @@
         )
         return chosen
 
-    def reconsider(
+    def handle_failed_send(
         self, progress: CallProgress, backend: Backend, error: Exception
     ) -> None:
-        """Return when the call may be sent again.
+        """Count a failed send; return if the call may be retried.
 
         Raises
         ------
         RequestFailedError
-            With the end of the call, where it may not.
+            The call may not be retried; the error is its outcome.
         """
         call = progress.call
-        progress.refused.add(backend.name)
+        progress.failed_backends.add(backend.name)
         doubtful = isinstance(error, BackendCutError)
         if doubtful:
-            progress.ran += 1
-        self._tools.metrics.count('sends_failed', type(error).__name__)
+            progress.possible_runs += 1
+        self._deps.metrics.count('sends_failed', type(error).__name__)
         log_decision(
             'send_failed',
             request=call.name,
@@ -168,26 +177,31 @@
             why=error,
             doubtful=doubtful,
         )
-        final = doubtful and not call.route.repeatable
-        if final or progress.ran >= call.route.max_endpoints:
-            raise self.end(progress, ErrorKind.outcome_unknown, error)
-        spent = self._budget(call.service).spend(self._now())
-        if progress.sends >= _MOST_SENDS or not spent:
-            raise self.end(progress, ErrorKind.overloaded, error)
-
-    def end(
+        may_not_repeat = doubtful and not call.route.repeatable
+        if may_not_repeat or progress.possible_runs >= call.route.max_endpoints:
+            raise self.make_failure(progress, ErrorKind.outcome_unknown, error)
+        within_budget = self._repeat_budget(call.service).spend(self._now())
+        if progress.sends >= _MAX_SENDS or not within_budget:
+            raise self.make_failure(progress, ErrorKind.overloaded, error)
+
+    def make_failure(
         self,
         progress: CallProgress,
         kind: ErrorKind,
         error: Exception | None = None,
-        retry_seconds: float = _RETURN_SECONDS,
+        retry_seconds: float = _RETRY_AFTER_SECONDS,
     ) -> RequestFailedError:
-        """Return the end of a call that failed, and log it."""
+        """Log the failure of a call and return the error for its caller.
+
+        The kind is adjusted when part of the answer was sent, or when a back
+        end may have run the call.
+        """
         call = progress.call
-        if progress.begun:
+        if progress.answer_begun:
             kind = ErrorKind.generation_lost
-        elif progress.ran and kind != ErrorKind.deadline_exceeded:
-            # It may have run: no answer may promise that it did not.
+        elif progress.possible_runs and kind != ErrorKind.deadline_exceeded:
+            # The call may have run, so the error must not claim that it did
+            # not.
             kind = ErrorKind.outcome_unknown
         log_decision(
             'call_failed',
@@ -199,52 +213,52 @@
             last_event=progress.order.last,
             seconds=self._now() - call.arrived,
         )
-        self._tools.metrics.count('calls_failed', kind.value)
-        # Calls that were refused at the same moment come back spread out.
-        spread = _RETURN_SPREAD * self._tools.random.random()
-        return RequestFailedError(kind, retry_seconds=retry_seconds + spread)
+        self._deps.metrics.count('calls_failed', kind.value)
+        # Jitter keeps callers that failed together from retrying together.
+        jitter = _RETRY_JITTER_SECONDS * self._deps.random.random()
+        return RequestFailedError(kind, retry_seconds=retry_seconds + jitter)
 
     @contextmanager
-    def book(self, progress: CallProgress, leg: Leg) -> Iterator[Booking]:
-        """Count a call at its back end while it is open there."""
+    def reserve(self, progress: CallProgress, leg: Leg) -> Iterator[Booking]:
+        """Count a call against its back end while it is in flight there."""
         now = self._now()
         call = progress.call
-        leg.backend.cold_limit.note(now)
-        self._tools.count_call(leg.backend)
+        leg.backend.cold_limit.record_call(now)
+        self._deps.count_call(leg.backend)
         progress.sends += 1
         if leg.resumption is not None:
-            self._budget(call.service).spend(now)
-        ahead = leg.backend.unread_ahead
-        tokens = self._tokens(call)
+            self._repeat_budget(call.service).spend(now)
+        backlog = leg.backend.prefill_backlog
+        tokens = self._expected_tokens(call)
         booking = Booking(leg, tokens)
         if tokens is not None:
             unread = tokens.prompt if booking.reads_prompt else 0
-            self._tools.announce(leg.backend, call.name, unread, tokens.total)
+            self._deps.announce(leg.backend, call.name, unread, tokens.total)
         try:
             yield booking
         except NotRunError as error:
-            self._note_refusal(leg.backend, error)
+            self._record_refusal(leg.backend, error)
             raise
         except BackendCutError:
-            leg.backend.note_failure(self._now())
+            leg.backend.record_failure(self._now())
             raise
         except asyncio.CancelledError:
-            self._note_silence(call, booking, now)
+            self._record_unanswered(call, booking, now)
             raise
         else:
-            leg.backend.note_success()
-            self._note_reading(call, booking, ahead, now)
+            leg.backend.record_success()
+            self._observe_prompt_rate(call, booking, backlog, now)
         finally:
             booking.release()
-            self._tools.metrics.record('send', self._now() - now)
+            self._deps.metrics.record('send', self._now() - now)
 
-    def learn(self, progress: CallProgress) -> None:
-        """Learn from the length of a complete stream."""
+    def observe_answer_length(self, progress: CallProgress) -> None:
+        """Update the length prediction from a complete stream."""
         traits = self.engine_traits(progress.call.service)
         if traits is None or progress.order.last is None:
             return
         length = progress.order.last * traits.event_tokens
-        self._tools.lengths.observe(_group(progress.call), length)
+        self._deps.lengths.observe(_length_group(progress.call), length)
 
     def find_address(self, progress: CallProgress, address: str) -> Backend:
         """Return the back end at an address.
@@ -252,31 +266,32 @@
         Raises
         ------
         RequestFailedError
-            It is not known here, so that it cannot be named in the call.
+            This entry knows no back end at the address, and a call must carry
+            the name of its back end.
         """
-        backend = self._tools.backends.find_address(address)
+        backend = self._deps.backends.find_address(address)
         if backend is None:
-            raise self.end(progress, ErrorKind.outcome_unknown)
+            raise self.make_failure(progress, ErrorKind.outcome_unknown)
         return backend
 
     def guess_length(self, call: DirectCall) -> int:
-        """Return the tokens that a call's answer is expected to have."""
+        """Return the expected number of tokens in a call's answer."""
         size = call.size
         if size is None:
             return 0
-        guess = size.hint
-        if not guess:
-            outlook = self._tools.lengths.predict(_group(call), 0)
-            guess = int(outlook.remaining)
-        return min(guess, size.most_tokens) if size.most_tokens else guess
+        expected = size.hint
+        if not expected:
+            prediction = self._deps.lengths.predict(_length_group(call), 0)
+            expected = int(prediction.remaining)
+        return min(expected, size.most_tokens) if size.most_tokens else expected
 
     def engine_traits(self, service: str) -> EngineTraits | None:
-        """Return what a service's engines can do, None for plain ones."""
-        return self._tools.tables.engine_traits(service)
+        """Return the traits of a service's engines, None for plain services."""
+        return self._deps.tables.engine_traits(service)
 
-    def _note_refusal(self, backend: Backend, error: NotRunError) -> None:
+    def _record_refusal(self, backend: Backend, error: NotRunError) -> None:
         if isinstance(error, MisdirectedError):
-            backend.note_misdirected()
+            backend.mark_misdirected()
             log_decision(
                 'endpoint_misplaced',
                 endpoint=backend.name,
@@ -284,52 +299,58 @@
                 revision=backend.record.revision,
             )
         else:
-            backend.suspect(self._now())
+            backend.mark_suspect(self._now())
 
-    def _note_silence(
+    def _record_unanswered(
         self, call: DirectCall, booking: Booking, since: float
     ) -> None:
-        """Count a call that was given up as failed if nothing came at all.
+        """Count a cancelled call as failed if it got no event in time.
 
-        A back end that hangs on part of its calls resets none of them: only
-        time and callers that leave show it.
+        A back end that hangs on some calls does not reset their connections;
+        only timeouts and cancelled calls reveal it.
         """
         now = self._now()
-        patience = _SILENT_OBJECTIVES * call.route.objective
-        if not booking.answered and now >= since + patience:
-            booking.backend.note_failure(now)
+        silence_limit = _SILENT_OBJECTIVES * call.route.objective
+        if not booking.answered and now >= since + silence_limit:
+            booking.backend.record_failure(now)
 
-    def _candidates(self, progress: CallProgress, now: float) -> list[Backend]:
+    def _list_candidates(
+        self, progress: CallProgress, now: float
+    ) -> list[Backend]:
         return [
             backend
-            for backend in self._untried(progress, now)
+            for backend in self._list_eligible(progress, now)
             if not backend.call_limit.find_wait(now)
         ]
 
-    def _untried(self, progress: CallProgress, now: float) -> list[Backend]:
+    def _list_eligible(
+        self, progress: CallProgress, now: float
+    ) -> list[Backend]:
         return [
             backend
-            for backend in self._tools.backends.usable(progress.call.service)
-            if backend.name not in progress.refused
-            and self._bears(backend, now)
+            for backend in self._deps.backends.usable(progress.call.service)
+            if backend.name not in progress.failed_backends
+            and self._has_cold_capacity(backend, now)
         ]
 
-    def _refuse(self, progress: CallProgress, now: float) -> RequestFailedError:
-        """Return the end of a call that no back end may get now."""
+    def _make_refusal(
+        self, progress: CallProgress, now: float
+    ) -> RequestFailedError:
+        """Return the error for a call that no back end may get now."""
         waits = [
             backend.call_limit.find_wait(now)
-            for backend in self._untried(progress, now)
+            for backend in self._list_eligible(progress, now)
         ]
         if not waits:
-            return self.end(progress, ErrorKind.no_endpoint)
-        # All of them have got what they take.
-        return self.end(
+            return self.make_failure(progress, ErrorKind.no_endpoint)
+        # Every back end has reached its rate limit.
+        return self.make_failure(
             progress, ErrorKind.overloaded, retry_seconds=min(waits)
         )
 
-    def _placing(self, call: DirectCall, now: float) -> Placing:
+    def _make_context(self, call: DirectCall, now: float) -> Placing:
         domain = self._rules.failure_domain
-        tokens = self._tokens(call)
+        tokens = self._expected_tokens(call)
         if tokens is None:
             return Placing(domain, now)
         traits = self.engine_traits(call.service)
@@ -339,49 +360,49 @@
             tokens=tokens,
             memory_tokens=traits.memory_tokens if traits else 0,
             objective=call.route.objective,
-            reading_pace=self._reading_pace(call.service).tokens_a_second,
-            token_seconds=self._tools.backends.token_seconds(call.service),
+            prompt_rate=self._prompt_rate(call.service).tokens_per_second,
+            token_seconds=self._deps.backends.token_seconds(call.service),
         )
 
-    def _reading_pace(self, service: str) -> ReadingPace:
-        return self._reading.setdefault(service, ReadingPace())
+    def _prompt_rate(self, service: str) -> PromptRateEstimator:
+        return self._prompt_rates.setdefault(service, PromptRateEstimator())
 
-    def _note_reading(
-        self, call: DirectCall, booking: Booking, ahead: int, sent: float
+    def _observe_prompt_rate(
+        self, call: DirectCall, booking: Booking, backlog: int, sent: float
     ) -> None:
         if booking.first_event_at is None or not booking.reads_prompt:
             return
-        tokens = ahead + call.size.prompt_tokens
+        tokens = backlog + call.size.prompt_tokens
         seconds = booking.first_event_at - sent
-        self._reading_pace(call.service).observe(tokens, seconds)
+        self._prompt_rate(call.service).observe(tokens, seconds)
 
-    def _bears(self, backend: Backend, now: float) -> bool:
-        """Tell whether a back end is warm, or its cold limit has room."""
-        traits = self._tools.tables.traits(backend.record.service)
+    def _has_cold_capacity(self, backend: Backend, now: float) -> bool:
+        """Return whether a back end is warm or below its cold limit."""
+        traits = self._deps.tables.traits(backend.record.service)
         if traits is None or not traits.cold_rate:
             return True
-        if not self._tools.backends.is_cold(backend, now):
+        if not self._deps.backends.is_cold(backend, now):
             return True
         rate = traits.cold_rate * self._rules.cold_factor
         rate += self._rules.cold_slack
-        return backend.cold_limit.has_room(rate, now)
+        return backend.cold_limit.has_capacity(rate, now)
 
-    def _tokens(self, call: DirectCall) -> BookedTokens | None:
+    def _expected_tokens(self, call: DirectCall) -> BookedTokens | None:
         size = call.size
         if size is None:
             return None
         return BookedTokens(size.prompt_tokens, self.guess_length(call))
 
-    def _budget(self, service: str) -> RepeatBudget:
-        budget = self._budgets.get(service)
+    def _repeat_budget(self, service: str) -> RepeatBudget:
+        budget = self._repeat_budgets.get(service)
         if budget is None:
-            budget = RepeatBudget(self._rules.repeats, self._tools.entries)
-            self._budgets[service] = budget
+            budget = RepeatBudget(self._rules.repeats, self._deps.entries)
+            self._repeat_budgets[service] = budget
         return budget
 
     def _now(self) -> float:
-        return self._tools.clock.monotonic()
+        return self._deps.clock.monotonic()
 
 
-def _group(call: DirectCall) -> tuple[str, ...]:
+def _length_group(call: DirectCall) -> tuple[str, ...]:
     return (call.service, call.route.name, call.organisation)
--- a/primrosewood/callprogress.py
+++ b/primrosewood/callprogress.py
@@ -1,4 +1,4 @@
-"""How far a direct call has come."""
+"""Progress of a direct call through its sends and its answer."""
 
 from dataclasses import dataclass, field
 
@@ -10,39 +10,45 @@
 
 @dataclass(slots=True)
 class CallProgress:
-    """One call on its way.
+    """State of one call in progress.
 
     Attributes
     ----------
-    ran
-        Back ends that may have run it.
-    refused
-        Back ends that did not take it, or failed.
-    begun
-        Whether part of the answer was handed on.
-    others
-        Back ends that could have been chosen in place of the last one.
-    first_event, longest_pause
-        Seconds from the arrival to the first event handed on, and between two
-        of them.
+    sends
+        Times that the call was sent to a back end.
+    possible_runs
+        Number of back ends that may have run the call.
+    failed_backends
+        Names of the back ends that refused the call or failed on it.
+    order
+        Event numbers of the stream, across all of its back ends.
+    answer_begun
+        Whether part of the answer was sent to the caller.
+    alternatives
+        Number of other back ends that could have been chosen last time.
+    first_event
+        Seconds from the arrival to the first event sent to the caller, None
+        before.
+    longest_pause
+        Most seconds between two events sent to the caller.
     """
 
     call: DirectCall
     sends: int = 0
-    ran: int = 0
-    refused: set[str] = field(default_factory=set)
+    possible_runs: int = 0
+    failed_backends: set[str] = field(default_factory=set)
     order: StreamOrder = field(default_factory=StreamOrder)
-    begun: bool = False
-    others: int = 0
+    answer_begun: bool = False
+    alternatives: int = 0
     first_event: float | None = None
     longest_pause: float = 0
-    _event_at: float = 0
+    _last_event_at: float = 0
 
     def note_event(self, now: float) -> None:
-        """Note that events are handed on."""
+        """Record that events are sent to the caller."""
         if self.first_event is None:
             self.first_event = now - self.call.arrived
         else:
-            pause = now - self._event_at
+            pause = now - self._last_event_at
             self.longest_pause = max(self.longest_pause, pause)
-        self._event_at = now
+        self._last_event_at = now
--- a/primrosewood/directcalls.py
+++ b/primrosewood/directcalls.py
@@ -1,4 +1,4 @@
-"""Direct calls, their answers, and what carries them to a back end."""
+"""Direct calls, their answers, and the transport to a back end."""
 
 from collections.abc import AsyncIterator
 from contextlib import AbstractAsyncContextManager
@@ -25,12 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationSize:
-    """What a caller says of a generation's size, in tokens.
+    """Size of a generation in tokens, as its caller declares it.
 
     Attributes
     ----------
+    prompt_tokens
+        Length of the prompt.
+    most_tokens
+        Greatest length of the answer, 0 if the caller sets none.
     hint
-        The caller's guess of the answer's length, 0 without one.
+        The caller's estimate of the answer's length, 0 without one.
     """
 
     prompt_tokens: int
@@ -45,17 +49,18 @@
     Attributes
     ----------
     name
-        The caller's name for this attempt of its request.
+        The caller's identifier for this attempt of its request.
     target
-        Path and query as they came, still encoded.
+        Path and query as received, still percent-encoded.
     organisation
-        Holder of the caller's key, empty on anonymous routes.
+        Organisation that holds the caller's key, empty on anonymous routes.
     arrived, deadline
-        Monotonic seconds; at the deadline it is answered in any case.
+        Monotonic seconds; the call is answered by the deadline, if need be
+        with an error.
     patience
         Monotonic seconds until which the caller waits.
     size
-        None for calls of plain services.
+        None for calls to plain services, which do not generate tokens.
     """
 
     name: str
@@ -74,16 +79,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Resumption:
-    """Where a moved generation goes on.
+    """Copy of a moved generation from which another engine resumes it.
 
     Attributes
     ----------
     source
         Engine that made the copy, as ``host:port``.
     handle
-        The engine's name for the copy.
+        The source engine's identifier for the copy.
     last_event
-        Number of the last event that the caller got, None before the first.
+        Number of the last event sent to the caller, None before the first.
     """
 
     source: str
@@ -93,12 +98,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Status and headers that go to the caller unchanged.
+    """Status and headers that are forwarded to the caller unchanged.
 
     Attributes
     ----------
     length
-        Bytes of the body, None for a stream.
+        Length of the body in bytes, None for a stream.
     """
 
     status: int
@@ -107,26 +112,27 @@
 
 
 class AnswerSink(Protocol):
-    """Where an answer is written, in order."""
+    """Destination of an answer: first its head, then its body in order."""
 
     async def begin(self, head: AnswerHead) -> None:
         """Write the head."""
 
     async def write(self, body: bytes) -> None:
-        """Write a part of the body."""
+        """Write the next part of the body."""
 
 
 @dataclass(frozen=True, slots=True)
 class Leg:
-    """One back end's part in a call.
+    """One send of a call to a back end.
 
     Attributes
     ----------
     resumption
-        Where a moved generation goes on, None for a fresh one.
+        Copy from which the back end resumes a moved generation, None for a
+        new generation.
     after_event
-        Last event that the caller got from another generation, after which
-        this one goes on; None for one from the beginning.
+        Number of the last event sent to the caller from an earlier
+        generation, after which a new one continues; None from the beginning.
     """
 
     backend: Backend
@@ -135,7 +141,7 @@
 
 
 class BackendReply(Protocol):
-    """A back end's answer whose head has come."""
+    """A back end's answer whose head has been received."""
 
     @property
     def status(self) -> int:
@@ -143,30 +149,31 @@
 
     @property
     def headers(self) -> tuple[Header, ...]:
-        """Headers that the caller gets."""
+        """Headers to forward to the caller."""
 
     def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes.
+        """Yield the parts of the body as they are received.
 
         Raises
         ------
         BackendCutError
-            It ended before it was complete.
+            The body ended before it was complete.
         """
 
 
 class Transport(Protocol):
-    """Carries a direct call to one back end, over a connection of its own."""
+    """Sends a direct call to one back end, over a connection of its own."""
 
     def send(
         self, call: DirectCall, leg: Leg
     ) -> AbstractAsyncContextManager[BackendReply]:
-        """Send a call; leaving the context ends what is still running.
+        """Send a call; leaving the context aborts an answer in progress.
 
         Raises
         ------
         NotRunError
-            The call was not written, or the back end says it did not run.
+            The call was not written, or the back end reports that it did not
+            run.
         BackendCutError
-            The connection broke, or what came was no answer to this call.
+            The connection broke, or the response was no answer to this call.
         """
--- a/primrosewood/enginepace.py
+++ b/primrosewood/enginepace.py
@@ -1,7 +1,7 @@
-"""How fast engines work, learned from what they do.
+"""Prefill and decoding speed of engines, estimated from their work.
 
-The figures to start from are those of a large model on one accelerator; they
-only matter until the first generations were seen.
+The initial values are those of a large model on one accelerator; they apply
+until the first generations have been observed.
 """
 
 from collections.abc import Sequence
@@ -9,95 +9,107 @@
 from .moves import EngineRun
 
 __all__ = (
-    'PROMPT_TOKENS_A_SECOND',
+    'PROMPT_TOKENS_PER_SECOND',
     'TOKEN_SECONDS',
-    'ReadingPace',
+    'PromptRateEstimator',
     'TokenPace',
 )
 
-# Prompts are read one after the other, so what stands before a call is time
-# to its first token.
-PROMPT_TOKENS_A_SECOND = 14_000
-# A token of one stream with some neighbours: 7 ms a step and a little for
-# each of them.
+# Engines prefill one prompt after the other, so prompts that wait before a call
+# delay its first token.
+PROMPT_TOKENS_PER_SECOND = 14_000
+# Decoding time per token of a stream that shares its engine with a few others:
+# 7 ms per step, plus a little for each of them.
 TOKEN_SECONDS = 0.009
 
-# Of what was seen before each reading: about the last two seconds count.
-_KEPT = 0.975
-# About the last twenty calls count.
-_READING_WEIGHT = 0.05
-_SLOWEST_READING = 500
-_FASTEST_READING = 200_000
+# Weight of earlier samples at each new one: at 20 samples per second, about
+# the last two seconds count.
+_DECAY = 0.975
+# Weight of the newest call in the prompt rate: about the last 20 calls count.
+_PROMPT_RATE_WEIGHT = 0.05
+_MIN_PROMPT_RATE = 500
+_MAX_PROMPT_RATE = 200_000
 
 
 class TokenPace:
-    """What a token takes on one engine, from readings of its generations.
+    """Estimates the decoding time per token of one engine.
 
     Attributes
     ----------
     seconds
-        A token's time lately, 0 before any was seen.
+        Recent seconds per token, 0 before any token was observed.
     """
 
     def __init__(self) -> None:
-        """Start without readings."""
+        """Start without samples."""
         self.seconds: float = 0
-        self._before: dict[str, int] = {}
-        self._read_at: float = 0
-        self._spent: float = 0
-        self._made: float = 0
+        self._previous_tokens: dict[str, int] = {}
+        self._observed_at: float = 0
+        self._weighted_seconds: float = 0
+        self._weighted_tokens: float = 0
 
     def observe(self, runs: Sequence[EngineRun], now: float) -> None:
-        """Take the generations of one reading.
+        """Update the estimate from a sample of the running generations.
 
         Parameters
         ----------
         runs
-            Those that have made an event.
+            Generations that have produced an event.
         now
-            Monotonic seconds at which they were read.
+            When the sample was taken, in monotonic seconds.
         """
-        before, self._before = (
-            self._before,
+        previous_tokens, self._previous_tokens = (
+            self._previous_tokens,
             {run.name: run.tokens for run in runs},
         )
-        passed, self._read_at = now - self._read_at, now
-        grown = [
-            run.tokens - before[run.name] for run in runs if run.name in before
+        elapsed, self._observed_at = now - self._observed_at, now
+        token_increases = [
+            run.tokens - previous_tokens[run.name]
+            for run in runs
+            if run.name in previous_tokens
         ]
-        if not grown:
+        if not token_increases:
             return
-        # Tokens come several at a time, so that single readings say little.
-        self._spent = self._spent * _KEPT + passed * len(grown)
-        self._made = self._made * _KEPT + sum(grown)
-        if self._made > 0:
-            self.seconds = self._spent / self._made
+        # Tokens are produced several at a time, so that the difference between
+        # two samples is noisy; a decaying sum smooths it.
+        self._weighted_seconds = (
+            self._weighted_seconds * _DECAY + elapsed * len(token_increases)
+        )
+        self._weighted_tokens = self._weighted_tokens * _DECAY + sum(
+            token_increases
+        )
+        if self._weighted_tokens > 0:
+            self.seconds = self._weighted_seconds / self._weighted_tokens
 
 
-class ReadingPace:
-    """How fast the engines of a service read prompts, as calls show it.
+class PromptRateEstimator:
+    """Estimates how fast the engines of a service prefill prompts.
 
     Attributes
     ----------
-    tokens_a_second
-        Beside the generations that run there.
+    tokens_per_second
+        Prompt tokens per second of one engine, while generations run there.
     """
 
     def __init__(self) -> None:
-        """Start with the assumption."""
-        self.tokens_a_second: float = PROMPT_TOKENS_A_SECOND
+        """Start with the default rate."""
+        self.tokens_per_second: float = PROMPT_TOKENS_PER_SECOND
 
     def observe(self, tokens: int, seconds: float) -> None:
-        """Take the time to a first event.
+        """Update the estimate from the time to a call's first event.
 
         Parameters
         ----------
         tokens
-            Of the call's prompt and of those that stood before it.
+            Prompt tokens of the call and of those prefilled before it.
         seconds
             From the send to the first event.
         """
         if tokens <= 0 or seconds <= 0:
             return
-        found = min(_FASTEST_READING, max(_SLOWEST_READING, tokens / seconds))
-        self.tokens_a_second += _READING_WEIGHT * (found - self.tokens_a_second)
+        measured = min(
+            _MAX_PROMPT_RATE, max(_MIN_PROMPT_RATE, tokens / seconds)
+        )
+        self.tokens_per_second += _PROMPT_RATE_WEIGHT * (
+            measured - self.tokens_per_second
+        )
--- a/primrosewood/events.py
+++ b/primrosewood/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events of one stream, cut at their ends and kept in order."""
+"""Server-sent events of one stream: splitting, numbering and order."""
 
 from .errors import WireError
 
@@ -6,42 +6,43 @@
 
 _EVENT_END = b'\n\n'
 _ID_FIELD = b'id:'
-_LONGEST_EVENT = 1_048_576
+_MAX_EVENT_BYTES = 1_048_576
 
 
 class EventSplitter:
-    """Gathers bytes into whole events.
+    """Splits a byte stream into complete events.
 
-    An engine that dies cuts its stream anywhere.  Half an event that was
-    handed on cannot be taken back, and the engine that goes on would send
-    that event again; so only whole events leave.
+    The stream of an engine that dies may end inside an event.  Part of an
+    event that was forwarded cannot be withdrawn, and the engine that resumes
+    the stream sends the whole event again; so only complete events are
+    returned.
     """
 
     def __init__(self) -> None:
-        """Start between two events."""
+        """Start at the beginning of an event."""
         self._rest = b''
 
     @property
     def rest(self) -> bytes:
-        """What came after the last whole event."""
+        """Bytes after the last complete event."""
         return self._rest
 
     def feed(self, chunk: bytes) -> list[bytes]:
-        """Return the events that a chunk completes, each with its end.
+        """Return the events that a chunk completes, with their delimiters.
 
         Raises
         ------
         WireError
-            An event is longer than any engine makes.
+            An event exceeds the greatest length.
         """
         *events, self._rest = (self._rest + chunk).split(_EVENT_END)
-        if len(self._rest) > _LONGEST_EVENT:
+        if len(self._rest) > _MAX_EVENT_BYTES:
             raise WireError('an event is too long')
         return [event + _EVENT_END for event in events]
 
 
 def read_event_id(event: bytes) -> int | None:
-    """Return the number in an event's id field, None without one."""
+    """Return the number in an event's id field, None if it has none."""
     for line in event.split(b'\n'):
         if line.startswith(_ID_FIELD):
             digits = line[len(_ID_FIELD) :].strip()
@@ -50,7 +51,7 @@
 
 
 class StreamOrder:
-    """Lets each numbered event of one stream pass once and in order."""
+    """Accepts each numbered event of one stream once and in order."""
 
     def __init__(self) -> None:
         """Start before the first event."""
@@ -58,11 +59,13 @@
 
     @property
     def last(self) -> int | None:
-        """Number of the last event that passed."""
+        """Number of the last event that was accepted, None before one."""
         return self._last
 
     def accept(self, event: bytes) -> bool:
-        """Tell whether an event may pass; False for a repeat.
+        """Return whether an event is new; False for a duplicate.
+
+        Events without a number are always accepted.
 
         Raises
         ------
--- a/primrosewood/relay.py
+++ b/primrosewood/relay.py
@@ -1,4 +1,4 @@
-"""An entry's handling of direct calls, from arrival to whole answer."""
+"""Forwarding of direct calls at an entry, from arrival to complete answer."""
 
 import asyncio
 from dataclasses import dataclass
@@ -33,27 +33,28 @@
 
 __all__ = ('Relay', 'RelayTools')
 
-# A repeatable call that has no answer after this share of its objective is
-# sent to another back end, in time for an answer on time.  Nine in ten plain
-# calls take under a third of it.
-_FIRST_PATIENCE = 0.6
-# Engines answer by themselves when the time they were given is over; that
-# answer is the better one, so the entry's own comes a little later.
-_DEADLINE_SLACK = 0.1
-# The notice of a move follows the cut by 4 to 20 ms; an engine that leaves is
-# told some time before.  A crash has no notice, and its caller should hear
-# of it soon.
-_NOTICE_SECONDS = 0.4
+# A repeatable call without an answer after this share of its objective is sent
+# to another back end, which can still answer within the objective.  Nine in
+# ten plain calls take less than a third of this time.
+_ATTEMPT_SHARE = 0.6
+# Engines answer by themselves when the deadline they were given passes.  Their
+# answer says more than the entry's own error, so the entry waits a little
+# longer.
+_DEADLINE_GRACE_SECONDS = 0.1
+# The notice of a move follows the end of the old stream by 4 to 20 ms; an
+# engine that leaves knows of it some time before, so its notice is awaited
+# longer.  A crash sends no notice, and its caller should get an error soon.
+_MOVE_NOTICE_SECONDS = 0.4
 _LEAVING_NOTICE_SECONDS = 1.0
-# Where another generation may take a stream's place, waiting longer costs more
-# than reading its prompt again.
+# On resumable routes another generation may continue the stream, and waiting
+# longer than this costs more than a second prefill.
 _SHORT_NOTICE_SECONDS = 0.1
 _STATUS_OK = 200
 
 
 @dataclass(frozen=True, slots=True)
 class RelayTools:
-    """What the relay works with."""
+    """Collaborators of `Relay`."""
 
     placement: CallPlacement
     notices: NoticeBoard
@@ -63,57 +64,63 @@
 
 
 class Relay:
-    """Brings each direct call to one back end and its answer back."""
+    """Forwards direct calls to back ends and their answers to the callers."""
 
-    def __init__(self, tools: RelayTools) -> None:
-        """Take the tools."""
-        self._tools = tools
-        self._placement = tools.placement
+    def __init__(self, dependencies: RelayTools) -> None:
+        """Start without calls."""
+        self._deps = dependencies
+        self._placement = dependencies.placement
         self._timers = TimerGroup()
 
     async def answer(self, call: DirectCall, sink: AnswerSink) -> None:
-        """Write a call's answer; it is whole when this returns.
+        """Write a call's answer; it is complete when this returns.
 
         Raises
         ------
         RequestFailedError
-            With the kind that ends the call, at any point.
+            The call failed; part of the answer may have been written.
         """
-        self._placement.note_arrival(call)
+        self._placement.record_arrival(call)
         progress = CallProgress(call)
-        left = call.deadline - self._tools.clock.monotonic()
+        left = call.deadline - self._deps.clock.monotonic()
         try:
-            async with self._timers.limit(left + _DEADLINE_SLACK):
+            async with self._timers.limit(left + _DEADLINE_GRACE_SECONDS):
                 await self._answer(progress, sink)
         except TimeoutError as error:
-            raise self._end_in_time(progress) from error
+            raise self._make_timeout_failure(progress) from error
 
     def stop(self) -> None:
-        """End all calls in progress, as this process ends now.
+        """End all calls in progress, as this process exits now.
 
-        A connection that just closes looks to its caller like a broken
-        network.  A call of which nothing was handed on ends in an error
-        instead, and the line of each tells how far it had come.
+        To a caller, a connection that just closes looks like a network
+        failure.  A call whose answer has not begun gets an error instead, and
+        the log shows how far each call had come.
         """
         self._timers.end()
 
     def guess_length(self, call: DirectCall) -> int:
-        """Return the tokens that a call's answer is expected to have."""
+        """Return the expected number of tokens in a call's answer."""
         return self._placement.guess_length(call)
 
-    def _end_in_time(self, progress: CallProgress) -> RequestFailedError:
+    def _make_timeout_failure(
+        self, progress: CallProgress
+    ) -> RequestFailedError:
         if self._timers.ended:
             why = BackendCutError(STOPPED)
-            return self._placement.end(progress, ErrorKind.outcome_unknown, why)
-        return self._placement.end(progress, ErrorKind.deadline_exceeded)
+            return self._placement.make_failure(
+                progress, ErrorKind.outcome_unknown, why
+            )
+        return self._placement.make_failure(
+            progress, ErrorKind.deadline_exceeded
+        )
 
     async def _answer(self, progress: CallProgress, sink: AnswerSink) -> None:
         if progress.call.size is None:
-            await self._answer_whole(progress, sink)
+            await self._answer_buffered(progress, sink)
         else:
             await self._answer_stream(progress, sink)
 
-    async def _answer_whole(
+    async def _answer_buffered(
         self, progress: CallProgress, sink: AnswerSink
     ) -> None:
         while True:
@@ -121,9 +128,9 @@
             try:
                 head, body = await self._fetch(progress, backend)
             except (NotRunError, BackendCutError) as error:
-                self._placement.reconsider(progress, backend, error)
+                self._placement.handle_failed_send(progress, backend, error)
                 continue
-            self._note_answer(progress, backend, head.status)
+            self._record_answer(progress, backend, head.status)
             await sink.begin(head)
             await sink.write(body)
             return
@@ -131,56 +138,57 @@
     async def _fetch(
         self, progress: CallProgress, backend: Backend
     ) -> tuple[AnswerHead, bytes]:
-        """Return a whole answer; nothing of it is handed on before.
+        """Return a complete answer, without writing any of it before.
 
-        An answer that breaks off or is spoiled on the way can then be
-        replaced by another one, or by an error.
+        An answer that breaks off or is corrupted in transit can then be
+        replaced by that of another back end, or by an error.
         """
         try:
-            async with asyncio.timeout(_patience(progress)):
-                return await self._fetch_patiently(progress, backend)
+            async with asyncio.timeout(_attempt_timeout(progress)):
+                return await self._fetch_once(progress, backend)
         except TimeoutError as error:
             raise BackendCutError('no answer in time') from error
 
-    async def _fetch_patiently(
+    async def _fetch_once(
         self, progress: CallProgress, backend: Backend
     ) -> tuple[AnswerHead, bytes]:
         leg = Leg(backend)
-        with self._placement.book(progress, leg):
-            async with self._tools.transport.send(progress.call, leg) as reply:
-                return await _read_whole(reply)
+        with self._placement.reserve(progress, leg):
+            async with self._deps.transport.send(progress.call, leg) as reply:
+                return await _read_body(reply)
 
     async def _answer_stream(
         self, progress: CallProgress, sink: AnswerSink
     ) -> None:
-        leg = self._begin(progress)
+        leg = self._choose_attempt(progress)
         while True:
             try:
-                await self._follow(progress, leg, sink)
+                await self._stream_attempt(progress, leg, sink)
             except NotRunError as error:
-                leg = self._send_again(progress, leg, error)
+                leg = self._retry_refused(progress, leg, error)
             except (BackendCutError, WireError) as error:
-                leg = await self._go_on(progress, leg, error)
+                leg = await self._continue_stream(progress, leg, error)
             else:
                 return
 
-    async def _follow(
+    async def _stream_attempt(
         self, progress: CallProgress, leg: Leg, sink: AnswerSink
     ) -> None:
         call = progress.call
-        # A notice of an earlier move must not explain a later cut.
-        self._tools.notices.forget(call.name)
-        with self._placement.book(progress, leg) as booking:
-            async with self._tools.transport.send(call, leg) as reply:
+        # The notice of an earlier move must not be taken for that of a later
+        # broken connection.
+        self._deps.notices.forget(call.name)
+        with self._placement.reserve(progress, leg) as booking:
+            async with self._deps.transport.send(call, leg) as reply:
                 if reply.status == _STATUS_OK:
-                    await self._pass_on(progress, reply, sink, booking)
+                    await self._forward_events(progress, reply, sink, booking)
                 else:
-                    await self._pass_failure(progress, reply, sink)
+                    await self._forward_error(progress, reply, sink)
                 status = reply.status
-        self._placement.learn(progress)
-        self._note_answer(progress, leg.backend, status)
+        self._placement.observe_answer_length(progress)
+        self._record_answer(progress, leg.backend, status)
 
-    async def _pass_on(
+    async def _forward_events(
         self,
         progress: CallProgress,
         reply: BackendReply,
@@ -190,53 +198,53 @@
         splitter = EventSplitter()
         async for part in reply.parts():
             events = splitter.feed(part)
-            fresh = b''.join(filter(progress.order.accept, events))
-            if not fresh:
+            new_events = b''.join(filter(progress.order.accept, events))
+            if not new_events:
                 continue
-            now = self._tools.clock.monotonic()
+            now = self._deps.clock.monotonic()
             booking.note_event(now)
             progress.note_event(now)
-            if not progress.begun:
-                progress.begun = True
+            if not progress.answer_begun:
+                progress.answer_begun = True
                 await sink.begin(AnswerHead(reply.status, reply.headers))
-            await sink.write(fresh)
-        if splitter.rest or not progress.begun:
+            await sink.write(new_events)
+        if splitter.rest or not progress.answer_begun:
             raise BackendCutError('the stream ended inside an event')
 
-    async def _pass_failure(
+    async def _forward_error(
         self, progress: CallProgress, reply: BackendReply, sink: AnswerSink
     ) -> None:
-        if progress.begun:
-            # Part of the answer is out under another status.
+        if progress.answer_begun:
+            # Part of the answer was sent, with the status of another response.
             if progress.call.route.resumable:
                 raise BackendCutError(f'status {reply.status}')
             raise NotRunError(ErrorKind.generation_lost, str(reply.status))
-        head, body = await _read_whole(reply)
+        head, body = await _read_body(reply)
         await sink.begin(head)
         await sink.write(body)
 
-    def _begin(self, progress: CallProgress) -> Leg:
+    def _choose_attempt(self, progress: CallProgress) -> Leg:
         backend = self._placement.choose(progress)
         return Leg(backend, after_event=progress.order.last)
 
-    def _send_again(
+    def _retry_refused(
         self, progress: CallProgress, leg: Leg, error: NotRunError
     ) -> Leg:
         if leg.resumption is not None:
-            raise self._placement.end(
+            raise self._placement.make_failure(
                 progress, ErrorKind.outcome_unknown, error
             ) from error
-        self._placement.reconsider(progress, leg.backend, error)
-        return self._begin(progress)
+        self._placement.handle_failed_send(progress, leg.backend, error)
+        return self._choose_attempt(progress)
 
-    async def _go_on(
+    async def _continue_stream(
         self, progress: CallProgress, leg: Leg, error: Exception
     ) -> Leg:
-        """Return where a stream that was cut goes on."""
+        """Return the attempt that continues a stream that was cut."""
         notice = await self._await_notice(progress, leg.backend)
         if notice is None or not notice.handle:
-            return self._begin_anew(progress, leg, error)
-        progress.ran = max(1, progress.ran)
+            return self._restart_generation(progress, leg, error)
+        progress.possible_runs = max(1, progress.possible_runs)
         last_event = progress.order.last
         log_decision(
             'resumed',
@@ -246,32 +254,32 @@
             last_event=last_event,
             why=error,
         )
-        self._tools.metrics.count('resumed')
+        self._deps.metrics.count('resumed')
         backend = self._placement.find_address(progress, notice.target)
         return Leg(
             backend,
             Resumption(notice.source, notice.handle, last_event),
         )
 
-    def _begin_anew(
+    def _restart_generation(
         self, progress: CallProgress, leg: Leg, error: Exception
     ) -> Leg:
-        """Return where another generation takes the place of one that is lost.
+        """Return the attempt that replaces a lost generation by a new one.
 
         Raises
         ------
         RequestFailedError
-            The route does not allow it, or it was tried often enough.
+            The route does not allow it, or no retry is left.
         """
         if not progress.call.route.resumable:
-            progress.ran = 1
-            raise self._placement.end(
+            progress.possible_runs = 1
+            raise self._placement.make_failure(
                 progress, ErrorKind.outcome_unknown, error
             ) from error
-        cut = BackendCutError(str(error))
-        self._placement.reconsider(progress, leg.backend, cut)
-        self._tools.metrics.count('begun_anew')
-        return self._begin(progress)
+        cut_error = BackendCutError(str(error))
+        self._placement.handle_failed_send(progress, leg.backend, cut_error)
+        self._deps.metrics.count('begun_anew')
+        return self._choose_attempt(progress)
 
     async def _await_notice(
         self, progress: CallProgress, backend: Backend
@@ -279,20 +287,20 @@
         traits = self._placement.engine_traits(progress.call.service)
         if traits is None or not traits.moves:
             return None
-        seconds = _NOTICE_SECONDS
+        seconds = _MOVE_NOTICE_SECONDS
         if progress.call.route.resumable:
             seconds = _SHORT_NOTICE_SECONDS
         elif backend.stopping:
             seconds = _LEAVING_NOTICE_SECONDS
-        return await self._tools.notices.wait(progress.call.name, seconds)
+        return await self._deps.notices.wait(progress.call.name, seconds)
 
-    def _note_answer(
+    def _record_answer(
         self, progress: CallProgress, backend: Backend, status: int
     ) -> None:
         call = progress.call
-        seconds = self._tools.clock.monotonic() - call.arrived
-        self._tools.metrics.count('calls', str(status))
-        self._tools.metrics.record('call', seconds)
+        seconds = self._deps.clock.monotonic() - call.arrived
+        self._deps.metrics.count('calls', str(status))
+        self._deps.metrics.record('call', seconds)
         log_decision(
             'answered',
             request=call.name,
@@ -302,39 +310,39 @@
             last_event=progress.order.last,
             first_event=progress.first_event,
             longest_pause=progress.longest_pause or None,
-            late=_find_delay(progress, seconds) or None,
+            late=_find_lateness(progress, seconds) or None,
             seconds=seconds,
         )
 
 
-def _find_delay(progress: CallProgress, seconds: float) -> str:
-    """Return what made an answer late, empty when it is on time."""
+def _find_lateness(progress: CallProgress, seconds: float) -> str:
+    """Return which part of an answer was late, empty if none was."""
     route = progress.call.route
-    first = progress.first_event
-    if first is None:
-        return 'whole answer' if _is_over(seconds, route.objective) else ''
-    if _is_over(first, route.objective):
+    first_event = progress.first_event
+    if first_event is None:
+        return 'whole answer' if _exceeds(seconds, route.objective) else ''
+    if _exceeds(first_event, route.objective):
         return 'first event'
-    paused = _is_over(progress.longest_pause, route.longest_pause)
+    paused = _exceeds(progress.longest_pause, route.longest_pause)
     return 'pause' if paused else ''
 
 
-def _is_over(seconds: float, most: float) -> bool:
-    """Tell whether a time passes a bound; none is 0."""
-    return bool(most) and seconds > most
+def _exceeds(seconds: float, bound: float) -> bool:
+    """Return whether a time exceeds a bound, where 0 means no bound."""
+    return bool(bound) and seconds > bound
 
 
-def _patience(progress: CallProgress) -> float | None:
-    """Return how long a try may take, None until the deadline."""
+def _attempt_timeout(progress: CallProgress) -> float | None:
+    """Return the seconds that an attempt may take, None for no own limit."""
     route = progress.call.route
-    last = progress.ran + 1 >= route.max_endpoints
-    # Giving up an answer that may still come pays only where another back end
-    # can be asked.
-    if last or not route.repeatable or not progress.others:
+    is_last_run = progress.possible_runs + 1 >= route.max_endpoints
+    # Abandoning an answer that may still arrive only helps if another back end
+    # can be tried.
+    if is_last_run or not route.repeatable or not progress.alternatives:
         return None
-    return route.objective * _FIRST_PATIENCE
+    return route.objective * _ATTEMPT_SHARE
 
 
-async def _read_whole(reply: BackendReply) -> tuple[AnswerHead, bytes]:
+async def _read_body(reply: BackendReply) -> tuple[AnswerHead, bytes]:
     body = b''.join([part async for part in reply.parts()])
     return AnswerHead(reply.status, reply.headers, len(body)), body
--- a/primrosewood/routes.py
+++ b/primrosewood/routes.py
@@ -1,8 +1,8 @@
-"""Routes of direct calls, and who may use them.
+"""Routes of direct calls, and the keys that may use them.
 
-A direct call is forwarded to a back end byte for byte, by a route that is
-found from its host and path.  One table holds a whole version of the
-operators' routes; a process replaces tables and never changes one.
+A direct call is forwarded to a back end byte for byte, by the route that
+matches its host and path.  A table holds one complete version of the
+operators' routes; a process replaces tables and never modifies one.
 """
 
 from collections.abc import Mapping
@@ -23,7 +23,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated."""
+    """Kind of a route, which decides whether its calls may be retried."""
 
     idempotent = 'idempotent'
     non_idempotent = 'non_idempotent'
@@ -40,22 +40,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """How calls below one path of one host are forwarded.
+    """How calls below a path prefix of one host are forwarded.
 
     Attributes
     ----------
     timeout
-        Seconds after which a call is answered in any case.
+        Seconds after which a call is answered, if need be with an error.
     objective
         Seconds within which an answer, or a stream's first event, is on time.
     max_endpoints
         Most endpoints that may run one call.
     anonymous
         Whether callers need no key.
-    longest_pause
-        Seconds between events of a stream that is on time, 0 for any.
     resumable
-        Whether another generation may go on after an event of a stream.
+        Whether a new generation may continue a stream after its last event.
+    longest_pause
+        Most seconds between the events of a stream that is on time, 0 for no
+        limit.
     """
 
     name: str
@@ -77,18 +78,20 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a call may run again when its outcome is in doubt."""
+        """Whether a call may run again when its outcome is unknown."""
         return self.kind == RouteKind.idempotent or self.resumable
 
 
 @dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What the engines of a service can do.
+    """Properties of the engines of a service.
 
     Attributes
     ----------
+    slots
+        Generations that an engine runs concurrently.
     memory_tokens
-        Tokens that running generations and cached prompts share.
+        KV cache tokens that running generations and cached prompts share.
     event_tokens
         Tokens in one event of a stream.
     moves
@@ -103,14 +106,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTraits:
-    """What is common to the back ends of a service.
+    """Properties common to the back ends of a service.
 
     Attributes
     ----------
     cold_rate
-        Calls a second that a cold back end bears, 0 for no limit.
+        Calls per second that a cold back end can handle, 0 for no limit.
     engine
-        None for a plain service.
+        None for a plain service, which has no engines.
     """
 
     name: str
@@ -120,14 +123,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller may send.
+    """Limits on the requests of callers.
 
     Attributes
     ----------
     header_bytes, body_bytes
-        Largest head and body.
+        Largest head and body of a request.
     head_seconds
-        How long a head may take.
+        Longest time to receive a head.
     """
 
     header_bytes: int = 16384
@@ -137,12 +140,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """One version of all routes.
+    """One version of all routes, services and keys.
 
     Attributes
     ----------
+    services
+        Traits of each service, by its name.
     organisations
-        Name of the organisation that holds each key.
+        Name of the organisation that holds each key, by the key.
     """
 
     version: int
@@ -152,49 +157,51 @@
     limits: CallerLimits = CallerLimits()
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
-        found = None
+        """Return the route with the longest matching path prefix."""
+        longest_match = None
         for route in self.routes:
             if route.host != host or not path.startswith(route.path_prefix):
                 continue
-            if found is None or len(route.path_prefix) > len(found.path_prefix):
-                found = route
-        return found
+            if longest_match is None or len(route.path_prefix) > len(
+                longest_match.path_prefix
+            ):
+                longest_match = route
+        return longest_match
 
 
 class TableHolder:
-    """The newest table that this process has seen.
+    """Holds the newest table that this process has received.
 
-    A table never gives way to an older one: a listing that was under way
-    while a watch brought a newer version, or a stale peer, would otherwise
-    bring back routes and keys that operators have taken away.
+    An older table never replaces a newer one.  Otherwise a listing that was
+    in progress while a watch delivered a newer version, or a peer with old
+    data, would restore routes and keys that operators have removed.
     """
 
     def __init__(self) -> None:
-        """Start without a table."""
+        """Start with no table."""
         self._table: RouteTable | None = None
 
     @property
     def table(self) -> RouteTable | None:
-        """The newest table, None before the first."""
+        """The newest table, None before the first one is received."""
         return self._table
 
     @property
     def version(self) -> int:
-        """Version of the newest table, 0 before the first."""
+        """Version of the newest table, 0 before the first is received."""
         return self._table.version if self._table else 0
 
     def traits(self, service: str) -> ServiceTraits | None:
-        """Return what is common to a service's back ends, None if unknown."""
+        """Return the traits of a service, None if it is unknown."""
         return self._table.services.get(service) if self._table else None
 
     def engine_traits(self, service: str) -> EngineTraits | None:
-        """Return what a service's engines can do, None for plain ones."""
+        """Return the traits of a service's engines, None for plain services."""
         traits = self.traits(service)
         return traits.engine if traits else None
 
     def take(self, table: RouteTable) -> bool:
-        """Keep a table if it is newer; tell whether it was."""
+        """Replace the table by a newer one; return whether it is newer."""
         if table.version <= self.version:
             return False
         self._table = table
@@ -202,18 +209,18 @@
 
 
 def choose_target(route: Route, draw: float) -> str:
-    """Return the service that gets a call, by the targets' weights.
+    """Return the service that gets a call, chosen by the targets' weights.
 
     Parameters
     ----------
     route
-        With at least one target.
+        Route with at least one target.
     draw
-        A number in [0, 1).
+        Random number in [0, 1).
     """
-    left = draw * sum(target.weight for target in route.targets)
+    remaining = draw * sum(target.weight for target in route.targets)
     for target in route.targets:
-        left -= target.weight
-        if left < 0:
+        remaining -= target.weight
+        if remaining < 0:
             return target.service
     return route.targets[-1].service
--- a/primrosewood/shares.py
+++ b/primrosewood/shares.py
@@ -1,10 +1,10 @@
-"""An entry's share of limits that hold for the sum over all entries.
+"""An entry's share of limits that apply to the sum over all entries.
 
-Entries do not ask each other before they spend: on a day with cuts there is
-nobody to ask.  Each spends its share of the sum, by the number of entries
-that it last heard of, and keeps a margin for an entry that has just come.
-A limit of a few calls a second has no shares to divide; there each tells the
-others what it has spent.
+Entries do not ask each other before they use up part of a limit, as that
+would fail during a network partition.  Each uses an equal share, by the last
+known number of entries, and keeps a margin for entries that have just
+started.  A limit of a few calls per second is too small to divide; there each
+entry reports its calls to the others, see `CallLimit`.
 """
 
 from collections import deque
@@ -18,33 +18,34 @@
     'RepeatRule',
 )
 
-# Used of each share; the rest covers entries that were not counted yet.
-_MARGIN = 0.8
-# Calls are counted where they arrive, so two bursts that were a second apart
-# when they were sent may be nearer to each other: count a little longer.
+# Part of its share that an entry uses; the rest covers entries that are not
+# counted yet.
+_USED_SHARE = 0.8
+# The limit applies to calls per second at the back end.  Calls that are sent a
+# second apart may arrive closer together, so the window is a little longer.
 _COLD_WINDOW_SECONDS = 1.2
-# A named limit may be used at once for so many seconds after a pause.
+# After a pause, up to this many seconds of a rate limit may be used at once.
 _BURST_SECONDS = 1.0
-# Tokens that an entry may hold back: one for so many entries, and no more than
-# leave room for a call.
-_ENTRIES_A_TOKEN = 9
-_MOST_HELD_BACK = 3.0
-_LEAST_BURST = 1 + _MOST_HELD_BACK
-# Calls a second that show whether a limit near zero still holds.
-_LEAST_RATE = 0.1
+# Tokens of a bucket that an entry may hold back: one for this many entries, up
+# to a maximum that the bucket's capacity exceeds by one call.
+_ENTRIES_PER_HELD_TOKEN = 9
+_MAX_HELD_TOKENS = 3.0
+_MIN_BURST_TOKENS = 1 + _MAX_HELD_TOKENS
+# Calls per second that probe whether a limit near zero is still in force.
+_MIN_RATE = 0.1
 
 
 class EntryCount:
-    """How many entries share each sum, as endpoints last told.
+    """Number of entries that share a limit, as last reported by endpoints.
 
     Parameters
     ----------
     assumed
-        Entries to reckon with before anybody told.
+        Number of entries until the first report.
     """
 
     def __init__(self, assumed: int) -> None:
-        """Start with the assumption."""
+        """Start with the assumed number."""
         self._count = assumed
 
     @property
@@ -53,22 +54,22 @@
         return self._count
 
     def take(self, entries: int) -> None:
-        """Note how many entries an endpoint is connected to."""
+        """Update the number to that of the entries connected to an endpoint."""
         self._count = max(1, entries)
 
 
 @dataclass(frozen=True, slots=True)
 class RepeatRule:
-    """Bound on repeats at a service within a window.
+    """Limit on the retries to a service within a sliding window.
 
     Attributes
     ----------
     ratio
-        Repeats allowed for each request of the window.
+        Retries allowed per request in the window.
     slack
-        Repeats allowed on top, by all entries together.
+        Retries allowed in addition, for all entries together.
     window
-        Seconds.
+        Length of the window in seconds.
     """
 
     ratio: float = 0.2
@@ -77,12 +78,13 @@
 
 
 class RepeatBudget:
-    """Repeats to one service, bounded so that a fault brings no storm.
+    """Retry budget of one service, which prevents retry storms.
 
     Attributes
     ----------
     rule
-        The bound; what was spent counts on when it changes.
+        The limit.  When it changes, requests and retries in the window still
+        count.
     """
 
     def __init__(self, rule: RepeatRule, entries: EntryCount) -> None:
@@ -92,140 +94,144 @@
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
 
-    def note_request(self, now: float) -> None:
-        """Count a caller's request."""
+    def record_request(self, now: float) -> None:
+        """Count a caller's request, which earns retries."""
         self._requests.append(now)
-        self._forget(now)
+        self._drop_expired(now)
 
     def spend(self, now: float) -> bool:
-        """Take one repeat; False when the share is used up."""
-        self._forget(now)
+        """Take one retry; return False if this entry's share is used up."""
+        self._drop_expired(now)
         allowed = len(self._requests) * self.rule.ratio
         allowed += self.rule.slack / self._entries.count
-        if len(self._repeats) + 1 > allowed * _MARGIN:
+        if len(self._repeats) + 1 > allowed * _USED_SHARE:
             return False
         self._repeats.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for times in (self._requests, self._repeats):
             while times and times[0] < now - self.rule.window:
                 times.popleft()
 
 
 class ColdLimit:
-    """Calls a second to one cold back end."""
+    """Limits this entry's calls per second to one cold back end."""
 
     def __init__(self, entries: EntryCount) -> None:
         """Start with an empty window."""
         self._entries = entries
         self._sent: deque[float] = deque()
 
-    def has_room(self, rate: float, now: float) -> bool:
-        """Tell whether another call keeps this entry within its share.
+    def has_capacity(self, rate: float, now: float) -> bool:
+        """Return whether another call stays within this entry's share.
 
         Parameters
         ----------
         rate
-            Calls a second that all entries together may send.
+            Calls per second that all entries together may send.
         now
             Monotonic seconds.
         """
         while self._sent and self._sent[0] < now - _COLD_WINDOW_SECONDS:
             self._sent.popleft()
-        share = rate * _MARGIN / self._entries.count
+        share = rate * _USED_SHARE / self._entries.count
         return len(self._sent) + 1 <= max(1, share)
 
-    def note(self, now: float) -> None:
-        """Count a call."""
+    def record_call(self, now: float) -> None:
+        """Count a call that is sent to the back end."""
         self._sent.append(now)
 
 
 class CallLimit:
-    """Calls a second that a back end takes from all entries together.
+    """Rate limit that a back end sets for the calls of all entries together.
 
-    A token bucket that the calls of every entry empty: this entry's own as
-    they are sent, those of others as they are told.  What is told too late
-    leaves a debt, so that the sum keeps to the rate.
+    A token bucket that the calls of every entry draw from: this entry's own
+    when they are sent, those of other entries when they are reported.  Late
+    reports leave the bucket in debt, so that the sum still keeps to the rate.
     """
 
     def __init__(self) -> None:
-        """Start without a limit."""
+        """Start with no limit in force."""
         self._rate: float | None = None
-        self._heard_at = float('-inf')
+        self._reported_at = float('-inf')
         self._tokens = 0.0
         self._filled_at = 0.0
-        self._held_back = 0.0
+        self._held_tokens = 0.0
 
     @property
     def rate(self) -> float | None:
-        """Calls a second, None without a limit."""
+        """Calls per second, None without a limit."""
         return self._rate
 
     @property
-    def heard_at(self) -> float:
-        """When the back end last said so, in monotonic seconds."""
-        return self._heard_at
+    def reported_at(self) -> float:
+        """When the back end last stated its limit, in monotonic seconds."""
+        return self._reported_at
 
-    def take(self, rate: float | None, heard_at: float, now: float) -> bool:
-        """Note what the back end said; tell whether the limit changes.
+    def take(self, rate: float | None, reported_at: float, now: float) -> bool:
+        """Update the limit; return whether the rate changes.
 
         Parameters
         ----------
         rate
-            Calls a second, None for no limit.
-        heard_at, now
-            Monotonic seconds; what was heard before the last news is old.
+            Calls per second, None for no limit.
+        reported_at
+            When the back end stated the limit, in monotonic seconds; a
+            statement older than the last one is ignored.
+        now
+            Monotonic seconds.
         """
-        if heard_at < self._heard_at:
+        if reported_at < self._reported_at:
             return False
         if self._rate is None:
-            # It has just got calls that were not counted.
+            # Calls before the limit was known were not counted, so the bucket
+            # starts empty.
             self._tokens = 0
             self._filled_at = now
         else:
             self._fill(now)
         changed = rate != self._rate
         self._rate = rate
-        self._heard_at = heard_at
+        self._reported_at = reported_at
         return changed
 
     def count(self, calls: int, now: float) -> None:
-        """Count calls that were sent."""
+        """Draw the tokens of calls that were sent."""
         if self._rate is not None:
             self._fill(now)
             self._tokens -= calls
 
     def hold_back(self, draw: float, entries: int) -> None:
-        """Leave some tokens until more have come.
+        """Require a random number of spare tokens before the next call.
 
-        All entries see a new token at the same moment; holding back a random
-        part lets one of them take it and tell the others.
+        All entries see a new token at the same moment; with random thresholds
+        one of them takes it first and reports that to the others.
 
         Parameters
         ----------
         draw
-            A number in [0, 1).
+            Random number in [0, 1).
         entries
-            How many there are.
+            Number of entries.
         """
-        spread = max(1, entries / _ENTRIES_A_TOKEN)
-        self._held_back = draw * min(_MOST_HELD_BACK, spread)
+        held_tokens = max(1, entries / _ENTRIES_PER_HELD_TOKEN)
+        self._held_tokens = draw * min(_MAX_HELD_TOKENS, held_tokens)
 
     def find_wait(self, now: float) -> float:
-        """Return the seconds until a call may be sent, 0 for at once."""
+        """Return the seconds until a call may be sent, 0 for now."""
         if self._rate is None:
             return 0
         self._fill(now)
-        missing = 1 + self._held_back - self._tokens
-        return max(0, missing / self._pace())
+        missing = 1 + self._held_tokens - self._tokens
+        return max(0, missing / self._refill_rate())
 
     def _fill(self, now: float) -> None:
-        pace = self._pace()
-        most = max(_LEAST_BURST, pace * _BURST_SECONDS)
-        earned = (now - self._filled_at) * pace
-        self._tokens = min(most, self._tokens + earned)
+        refill_rate = self._refill_rate()
+        capacity = max(_MIN_BURST_TOKENS, refill_rate * _BURST_SECONDS)
+        refilled = (now - self._filled_at) * refill_rate
+        self._tokens = min(capacity, self._tokens + refilled)
         self._filled_at = now
 
-    def _pace(self) -> float:
-        return max(_LEAST_RATE, self._rate)
+    def _refill_rate(self) -> float:
+        return max(_MIN_RATE, self._rate)
--- a/primrosewood/stopping.py
+++ b/primrosewood/stopping.py
@@ -1,26 +1,27 @@
-"""What an entry still takes on during a planned stop."""
+"""Admission of new calls at an entry during a planned stop."""
 
 import math
 
 from .directcalls import DirectCall, GenerationSize
-from .enginepace import PROMPT_TOKENS_A_SECOND, TOKEN_SECONDS
+from .enginepace import PROMPT_TOKENS_PER_SECOND, TOKEN_SECONDS
 from .identity import digest_key
 from .logs import log_decision
 
 __all__ = ('StopWindow',)
 
-# Of the time that is left: early in a stop for an answer of the expected
-# length, late for one of the greatest length.
-_FILLED = 0.7
-# A token where prompts are read beside it, or the engine has just started.
+# Share of the remaining time that an admitted stream may take, by its expected
+# length early in a stop and by its greatest length late.
+_USABLE_SHARE = 0.7
+# Slow decoding: beside the prefill of other prompts, or on an engine that has
+# just started.
 _SLOW_TOKEN_SECONDS = 2 * TOKEN_SECONDS
-# To another entry, which may be ready.
-_RETURN_SECONDS = 0.05
-# From the end of a process until the platform has started it again and the
-# balancer has seen that it is ready.
+# Retry-After early in a stop, when the load balancer may have another entry.
+_RETRY_ELSEWHERE_SECONDS = 0.05
+# From the end of the process until the platform has restarted it and the load
+# balancer has found it ready.
 _RESTART_SECONDS = 2.0
 
-# Why a call may begin during a stop, or may not.
+# Reasons for a decision, as they are logged.
 _PLAIN = 'plain'
 _ENDS_IN_TIME = 'ends_in_time'
 _CAME_BACK = 'came_back'
@@ -28,46 +29,47 @@
 
 
 class StopWindow:
-    """Decides which calls may begin while the process is being stopped.
+    """Decides which calls an entry admits while its process is stopping.
 
-    A stream cannot be handed to another entry, as its connection ends with
-    this process.
+    A stream cannot move to another entry, because the connection to its
+    caller ends with this process.
 
-    Until the balancer has noticed the stop, callers come as ever and the time
-    left is long.  A stream that is expected to outlive the process is refused
-    at once, with a time to come back so short that it is on time elsewhere.
-    Where the balancer has no other entry the caller comes back here; then a
-    stream that may be cut is better than none.
+    Until the load balancer notices the stop, calls arrive as usual and much
+    time remains.  A stream that is expected to outlive the process is refused
+    at once, with a Retry-After so short that another entry can still answer
+    on time.  If the balancer has no other entry, the caller's retry arrives
+    here again; it is admitted, as a stream that may be cut is better than
+    none.
 
-    After that only a stream that ends even at its greatest length begins, and
-    it is handed on whole or not at all.  A caller's guess is too short in
-    half of all cases, at times by far, and with seconds left nothing makes up
-    for it: the caller would get part of an answer in place of a refusal after
-    which it may come back.
+    After that, only a stream that fits even at its greatest length is
+    admitted, and its answer is buffered and sent complete or not at all.
+    Half of all length hints are too low, some by far, and in the last seconds
+    no time remains to make up for it: the caller would get part of an answer
+    instead of a refusal that it may retry.
 
     Attributes
     ----------
     seconds
-        From the signal to the end of the process; a change counts for a stop
-        that has not begun.
+        From the stop signal to the end of the process.  A change applies only
+        to a stop that has not begun.
     """
 
-    def __init__(self, seconds: float, noticed_seconds: float) -> None:
-        """Start without a stop.
+    def __init__(self, seconds: float, balancer_notice_seconds: float) -> None:
+        """Start with no stop in progress.
 
         Parameters
         ----------
         seconds
-            From the signal to the end of the process.
-        noticed_seconds
-            From the signal until the balancer sends callers elsewhere, if it
-            can.
+            From the stop signal to the end of the process.
+        balancer_notice_seconds
+            From the stop signal until the load balancer sends callers to
+            other entries, if it has any.
         """
         self.seconds = seconds
-        self._noticed_seconds = noticed_seconds
-        self._noticed_at = 0.0
+        self._balancer_notice_seconds = balancer_notice_seconds
+        self._balancer_noticed_at = 0.0
         self._ends_at: float | None = None
-        self._refused: set[str] = set()
+        self._refused_requests: set[str] = set()
 
     @property
     def begun(self) -> bool:
@@ -75,30 +77,30 @@
         return self._ends_at is not None
 
     def begin(self, now: float) -> None:
-        """Note the signal."""
-        self._noticed_at = now + self._noticed_seconds
+        """Start the stop, when its signal is received."""
+        self._balancer_noticed_at = now + self._balancer_notice_seconds
         self._ends_at = now + self.seconds
 
     def end(self, now: float) -> None:
-        """Note that the process ends now; nothing may begin any more."""
+        """End the window, as the process exits now; admit no more calls."""
         self._ends_at = now
 
     def admits(self, call: DirectCall, answer_tokens: int, now: float) -> bool:
-        """Tell whether a call may begin.
+        """Return whether a call may begin, and log a decision in a stop.
 
         Parameters
         ----------
         call
             The call.
         answer_tokens
-            Expected length of its answer.
+            Expected length of its answer in tokens.
         now
             Monotonic seconds.
         """
         if self._ends_at is None:
             return True
         left = self._ends_at - now
-        why = self._judge(call, answer_tokens, now)
+        why = self._decide(call, answer_tokens, now)
         size = call.size
         log_decision(
             'judged_while_stopping',
@@ -115,52 +117,55 @@
         return why != _TOO_LONG
 
     def return_seconds(self, now: float) -> float:
-        """Return when a caller that is refused should come back.
+        """Return the Retry-After seconds for a refused caller.
 
-        Early, another entry may be ready, and the answer still be on time.
-        Late, callers come here because the balancer has hardly any other: one
-        that came straight back would be refused again, for good.
+        Early in the stop another entry may be ready and can still answer on
+        time.  Late in the stop, calls arrive here only because the load
+        balancer has hardly any other entry: an immediate retry would be
+        refused again, and callers then give up.
         """
-        if now < self._noticed_at:
-            return _RETURN_SECONDS
+        if now < self._balancer_noticed_at:
+            return _RETRY_ELSEWHERE_SECONDS
         return max(0, self._ends_at - now) + _RESTART_SECONDS
 
-    def must_hold(self, call: DirectCall, judged: float) -> bool:
-        """Tell whether a stream is handed on only when it is whole.
+    def must_hold(self, call: DirectCall, admitted_at: float) -> bool:
+        """Return whether a stream is sent only once it is complete.
 
-        One that was let in late ends before the process at any usual pace,
-        but its engine may stall or leave.  Nothing short of its end shows
-        that it does not; half an answer is worse than an error.
+        A stream that was admitted late ends before the process at any usual
+        decoding speed, but its engine may still stall or leave.  Part of an
+        answer is worse for the caller than an error.
 
         Parameters
         ----------
         call
             The call.
-        judged
-            When it was let in, in monotonic seconds.
+        admitted_at
+            When it was admitted, in monotonic seconds.
         """
         begun = self._ends_at is not None and call.size is not None
-        return begun and judged >= self._noticed_at
+        return begun and admitted_at >= self._balancer_noticed_at
 
-    def _judge(self, call: DirectCall, answer_tokens: int, now: float) -> str:
-        """Return why a call may begin, or that it may not."""
+    def _decide(self, call: DirectCall, answer_tokens: int, now: float) -> str:
+        """Return the reason to admit a call, or `_TOO_LONG` to refuse it."""
         left = self._ends_at - now
         if not call.route.streaming:
-            # Few calls take longer than their objective.
+            # Plain calls rarely take longer than their route's objective.
             return _PLAIN if left >= call.route.objective else _TOO_LONG
-        left *= _FILLED
+        left *= _USABLE_SHARE
         if left <= 0:
             return _TOO_LONG
-        if now >= self._noticed_at:
-            ends = _greatest_seconds(call.size) <= left
-            return _ENDS_IN_TIME if ends else _TOO_LONG
+        if now >= self._balancer_noticed_at:
+            fits = _longest_seconds(call.size) <= left
+            return _ENDS_IN_TIME if fits else _TOO_LONG
         if _expected_seconds(call.size, answer_tokens) <= left:
             return _ENDS_IN_TIME
-        # A caller that comes back does so under another name.
-        asked = digest_key(call.target, call.organisation, call.body.hex())
-        if asked in self._refused:
+        # A retry has another call name, so it is recognised by its content.
+        request_digest = digest_key(
+            call.target, call.organisation, call.body.hex()
+        )
+        if request_digest in self._refused_requests:
             return _CAME_BACK
-        self._refused.add(asked)
+        self._refused_requests.add(request_digest)
         return _TOO_LONG
 
 
@@ -168,11 +173,11 @@
     return _prompt_seconds(size) + answer_tokens * TOKEN_SECONDS
 
 
-def _greatest_seconds(size: GenerationSize | None) -> float:
+def _longest_seconds(size: GenerationSize | None) -> float:
     if size is None or not size.most_tokens:
         return math.inf
     return _prompt_seconds(size) + size.most_tokens * _SLOW_TOKEN_SECONDS
 
 
 def _prompt_seconds(size: GenerationSize | None) -> float:
-    return size.prompt_tokens / PROMPT_TOKENS_A_SECOND if size else 0
+    return size.prompt_tokens / PROMPT_TOKENS_PER_SECOND if size else 0
--- a/tests/test_backendset.py
+++ b/tests/test_backendset.py
@@ -17,14 +17,14 @@
         self.backends = BackendSet(EntryCount(1))
         self.backends.note_store(answered=True, now=0)
 
-    def names(self):
+    def usable_names(self):
         return sorted(each.name for each in self.backends.usable('s'))
 
     def test_removal_in_quiet_times_counts_at_once(self):
         """An engine leaves without saying so: its record is just removed."""
         found = self.backends.take(make_record(), 100)
         self.assertTrue(self.backends.remove('e1', 100))
-        self.assertEqual([], self.names())
+        self.assertEqual([], self.usable_names())
         self.assertTrue(found.stopping)
 
     def test_records_that_lapse_in_an_outage_are_kept(self):
@@ -39,18 +39,18 @@
         self.backends.note_store(answered=True, now=106)
         for name in ('e1', 'e2'):
             self.assertFalse(self.backends.remove(name, 106))
-        self.assertEqual(['e1', 'e2'], self.names())
+        self.assertEqual(['e1', 'e2'], self.usable_names())
         self.backends.take(make_record('e1'), 107)
         self.assertEqual([], self.backends.settle(107))
         self.assertEqual(['e2'], self.backends.settle(108.5))
-        self.assertEqual(['e1'], self.names())
+        self.assertEqual(['e1'], self.usable_names())
 
     def test_nothing_is_dropped_while_the_service_is_away(self):
         self.backends.take(make_record(), 100)
         self.backends.note_store(answered=False, now=101)
         self.assertFalse(self.backends.remove('e1', 102))
         self.assertEqual([], self.backends.settle(200))
-        self.assertEqual(['e1'], self.names())
+        self.assertEqual(['e1'], self.usable_names())
 
     def test_every_source_can_stop_new_work(self):
         self.backends.take(make_record('e1', draining=True), 100)
@@ -60,7 +60,7 @@
         self.backends.take(make_record('e3', domain='d2'), 100)
         self.backends.take(make_record('e4'), 100)
         self.backends.take_out('d2')
-        self.assertEqual(['e4'], self.names())
+        self.assertEqual(['e4'], self.usable_names())
 
     def test_domain_that_returns_may_be_cold(self):
         """Operators take a failure domain back, whose engines turned cold.
@@ -85,14 +85,14 @@
         """
         old = self.backends.take(make_record('e1', revision=7), 100)
         self.backends.take(make_record('e2', revision=8), 100)
-        old.note_misdirected()
-        self.assertEqual(['e2'], self.names())
+        old.mark_misdirected()
+        self.assertEqual(['e2'], self.usable_names())
         # A listing shows the same record again.
         self.backends.take(make_record('e1', revision=7), 101)
-        self.assertEqual(['e2'], self.names())
+        self.assertEqual(['e2'], self.usable_names())
         # Its back end lives, and writes it anew.
         self.backends.take(make_record('e1', revision=9), 102)
-        self.assertEqual(['e1', 'e2'], self.names())
+        self.assertEqual(['e1', 'e2'], self.usable_names())
 
     def test_another_start_under_the_same_name(self):
         """An engine crashes and starts again under its name.
@@ -125,7 +125,7 @@
         found = self.backends.take(make_record(), 100)
         found.take_state(EngineState(leaving=True), 100)
         found.drop_old_state(200)
-        self.assertEqual([], self.names())
+        self.assertEqual([], self.usable_names())
 
     def test_announced_engines_while_nothing_can_register(self):
         """Engines are replaced during an outage of the key-value service.
@@ -136,10 +136,10 @@
         self.backends.note_store(answered=False, now=100)
         self.assertTrue(self.backends.announce(make_record(), 101))
         self.assertFalse(self.backends.announce(make_record(), 102))
-        self.assertEqual(['e1'], self.names())
+        self.assertEqual(['e1'], self.usable_names())
         self.backends.note_store(answered=True, now=110)
         found = self.backends.take(make_record(boot=3), 111)
-        self.assertIsNone(found.found_at)
+        self.assertIsNone(found.announced_at)
         self.assertEqual([], self.backends.settle(120))
 
     def test_announced_engine_that_never_registers_is_dropped(self):
@@ -152,4 +152,4 @@
         self.backends.take(make_record(), 100)
         self.backends.remove('e1', 101)
         self.assertFalse(self.backends.announce(make_record(), 102))
-        self.assertEqual([], self.names())
+        self.assertEqual([], self.usable_names())
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -19,8 +19,8 @@
 from primrosewood.shares import ColdLimit, EntryCount
 
 MEMORY = 34_300
-DRAFT = BookedTokens(3079, 940)
-SHORT = BookedTokens(2500, 16)
+LONG_ANSWER = BookedTokens(3079, 940)
+SHORT_ANSWER = BookedTokens(2500, 16)
 
 
 def make_backend(name, domain='d1', **fields):
@@ -28,7 +28,7 @@
     return Backend(record, ColdLimit(EntryCount(1)), **fields)
 
 
-def make_placing(tokens=DRAFT):
+def make_context(tokens=LONG_ANSWER):
     return Placing('d1', 0.0, tokens, MEMORY, 1.8)
 
 
@@ -38,8 +38,8 @@
     def setUp(self):
         self.balancer = LeastPressed(random.Random(1))
 
-    def choose(self, backends, tokens=DRAFT):
-        return self.balancer.choose(backends, make_placing(tokens)).name
+    def choose(self, backends, tokens=LONG_ANSWER):
+        return self.balancer.choose(backends, make_context(tokens)).name
 
     def test_prompts_that_wait_are_time_to_the_first_token(self):
         """Four prompts wait at the near engine, none at a far one.
@@ -76,8 +76,8 @@
         for backend in backends:
             backend.take_state(EngineState(total_tokens=MEMORY), 0)
         for _ in range(20):
-            chosen = self.balancer.choose(backends, make_placing())
-            Booking(Leg(chosen), DRAFT)
+            chosen = self.balancer.choose(backends, make_context())
+            Booking(Leg(chosen), LONG_ANSWER)
         self.assertEqual([4] * 5, [each.open_calls for each in backends])
 
     def test_short_deadline_behind_long_prompts(self):
@@ -100,7 +100,7 @@
             ),
             0,
         )
-        self.assertEqual('beside', self.choose([behind, beside], SHORT))
+        self.assertEqual('beside', self.choose([behind, beside], SHORT_ANSWER))
 
     def test_fast_engine_is_not_filled_to_the_brim(self):
         """One engine makes tokens 1.3 times as fast as the others.
@@ -111,8 +111,8 @@
         fast = make_backend('fast')
         slow = make_backend('slow')
         for _ in range(10):
-            chosen = self.balancer.choose([fast, slow], make_placing())
-            Booking(Leg(chosen), DRAFT)
+            chosen = self.balancer.choose([fast, slow], make_context())
+            Booking(Leg(chosen), LONG_ANSWER)
             for backend, pace in ((fast, 0.007), (slow, 0.0091)):
                 state = EngineState(
                     running=backend.open_calls,
@@ -148,7 +148,7 @@
 
     def test_release_gives_everything_back(self):
         backend = make_backend('e1')
-        booking = Booking(Leg(backend), DRAFT)
+        booking = Booking(Leg(backend), LONG_ANSWER)
         self.assertEqual(3079, backend.unread_tokens)
         booking.note_event(1.0)
         self.assertEqual(0, backend.unread_tokens)
@@ -164,26 +164,26 @@
     fault in one worker do. Its record, reports and health stay good.
     """
 
-    def play(self, seed):
+    def run_fault(self, seed):
         """Return the calls lost and the calls that the failing one got late.
 
         Late is after its fault has ended.
         """
-        source = random.Random(seed)
-        balancer = LeastPressed(source)
+        random_source = random.Random(seed)
+        balancer = LeastPressed(random_source)
         backends = [make_backend(name) for name in ('a', 'b', 'failing')]
-        lost, returned = 0, 0
+        lost, calls_after_fault = 0, 0
         for tick in range(200):
             now = tick / 5
             chosen = balancer.choose(backends, Placing('d1', now))
-            faulty = 5 <= now < 17 and source.random() < 0.45
+            faulty = 5 <= now < 17 and random_source.random() < 0.45
             if chosen.name == 'failing' and faulty:
-                chosen.note_failure(now)
+                chosen.record_failure(now)
                 lost += 1
             else:
-                chosen.note_success()
-            returned += chosen.name == 'failing' and now >= 25
-        return lost, returned
+                chosen.record_success()
+            calls_after_fault += chosen.name == 'failing' and now >= 25
+        return lost, calls_after_fault
 
     def test_it_is_tried_seldom_and_taken_back(self):
         """Callers of one counter in three get an error, on and on.
@@ -192,21 +192,23 @@
         5.7 of the sixty calls of the twelve seconds in the mean; set aside
         longer with each failure it loses 3.4.
         """
-        played = [self.play(seed) for seed in range(40)]
-        lost = sum(lost for lost, _returned in played) / len(played)
+        runs = [self.run_fault(seed) for seed in range(40)]
+        lost = sum(lost for lost, _returned in runs) / len(runs)
         self.assertLess(lost, 4)
         # It gets its share again once its fault has ended.
-        returned = sum(returned for _lost, returned in played) / len(played)
-        self.assertGreater(returned, 15)
+        calls_after_fault = sum(
+            calls_after_fault for _lost, calls_after_fault in runs
+        ) / len(runs)
+        self.assertGreater(calls_after_fault, 15)
 
     def test_one_failure_sets_aside_for_a_second(self):
         backend = make_backend('a')
-        backend.note_failure(10)
+        backend.record_failure(10)
         self.assertAlmostEqual(11, backend.suspect_until)
 
     def test_what_fails_always_is_tried_again_within_ten_seconds(self):
         backend = make_backend('a')
         for _ in range(100):
-            backend.note_failure(10)
+            backend.record_failure(10)
         self.assertLess(backend.suspect_until, 20)
         self.assertGreater(backend.suspect_until, 18)
--- a/tests/test_calllimits.py
+++ b/tests/test_calllimits.py
@@ -18,40 +18,40 @@
 
 WINDOW_SECONDS = 4
 # From a call to its being told everywhere: gathered, sent, passed on.
-TOLD_SECONDS = 0.015
+REPORT_SECONDS = 0.015
 
 
-class Crowd:
+class EntrySimulation:
     """Entries with callers who always wait, and one back end with a limit."""
 
-    def __init__(self, entries, rate, seed, told_seconds=TOLD_SECONDS):
-        self._told_seconds = told_seconds
+    def __init__(self, entries, rate, seed, report_seconds=REPORT_SECONDS):
+        self._report_seconds = report_seconds
         self._random = random.Random(seed)
         self._limits = [CallLimit() for _ in range(entries)]
-        self._told = []
+        self._pending_reports = []
         self.sent = []
         for limit in self._limits:
             limit.take(rate, 0, 0)
             self._hold_back(limit)
 
-    def play(self, demand, seconds):
+    def run(self, demand, seconds):
         now = 0.0
         while now < seconds:
             now += self._random.expovariate(demand)
-            self._hear(now)
+            self._deliver_reports(now)
             limit = self._random.choice(self._limits)
             if not limit.find_wait(now):
                 self._count(limit, now)
                 self.sent.append(now)
-                told = (now + self._told_seconds, len(self.sent), limit)
-                heapq.heappush(self._told, told)
+                reports = (now + self._report_seconds, len(self.sent), limit)
+                heapq.heappush(self._pending_reports, reports)
 
     def most_in_window(self):
         return most_in_window(self.sent, WINDOW_SECONDS)
 
-    def _hear(self, now):
-        while self._told and self._told[0][0] <= now:
-            at, _number, sender = heapq.heappop(self._told)
+    def _deliver_reports(self, now):
+        while self._pending_reports and self._pending_reports[0][0] <= now:
+            at, _number, sender = heapq.heappop(self._pending_reports)
             for limit in self._limits:
                 if limit is not sender:
                     self._count(limit, at)
@@ -78,27 +78,27 @@
         self, entries, rate, demand, seed
     ):
         """Guards against a sum beyond the limit, and against idle back ends."""
-        crowd = Crowd(entries, rate, seed)
-        crowd.play(demand, 20)
+        simulation = EntrySimulation(entries, rate, seed)
+        simulation.run(demand, 20)
         allowed = 1.5 * rate * WINDOW_SECONDS + 5
-        self.assertLessEqual(crowd.most_in_window(), allowed)
-        self.assertGreaterEqual(len(crowd.sent), 0.75 * rate * 20 - 2)
+        self.assertLessEqual(simulation.most_in_window(), allowed)
+        self.assertGreaterEqual(len(simulation.sent), 0.75 * rate * 20 - 2)
 
     def test_entries_that_see_the_same_token(self):
         """Guards against entries that all take the token they wait for."""
         for seed in range(5):
-            crowd = Crowd(27, 0.5, seed)
-            crowd.play(500, 20)
+            simulation = EntrySimulation(27, 0.5, seed)
+            simulation.run(500, 20)
             with self.subTest(seed):
-                self.assertLessEqual(crowd.most_in_window(), 8)
+                self.assertLessEqual(simulation.most_in_window(), 8)
 
     def test_calls_that_are_told_late(self):
         """Guards against overuse while links delay what entries tell."""
         for seed in range(6):
-            crowd = Crowd(27, 1.8, seed, told_seconds=0.2)
-            crowd.play(150, 20)
+            simulation = EntrySimulation(27, 1.8, seed, report_seconds=0.2)
+            simulation.run(150, 20)
             with self.subTest(seed):
-                self.assertLessEqual(crowd.most_in_window(), 15)
+                self.assertLessEqual(simulation.most_in_window(), 15)
 
     def test_limit_of_none(self):
         """Guards against entries that never learn that a limit of 0 is over."""
@@ -122,8 +122,8 @@
 
     async def asyncSetUp(self):
         self.clock = SystemClock()
-        self.linked = True
-        self.told = []
+        self.connected = True
+        self.reports = []
         entries = EntryCount(5)
         backends = BackendSet(entries)
         record = BackendRecord('i-1', 's', 'h:1', 'd1', 8)
@@ -133,39 +133,41 @@
         )
 
     def send(self, message):
-        self.told.append(message)
-        return self.linked
+        self.reports.append(message)
+        return self.connected
 
     def wait(self):
         return self.backend.call_limit.find_wait(self.clock.monotonic())
 
-    def name(self, rate):
+    def announce_limit(self, rate):
         self.limits.note_answer(self.backend, rate, self.clock.monotonic())
 
-    def tell(self, rate, age_ms, calls=0):
+    def receive_report(self, rate, age_ms, calls=0):
         self.limits.take_told(wire.LimitTold('i-1', rate, age_ms, calls))
 
     async def test_others_are_told(self):
-        self.name(2.0)
+        self.announce_limit(2.0)
         for _ in range(3):
             self.limits.note_call(self.backend)
         await asyncio.sleep(0.05)
-        (told,) = self.told
-        self.assertEqual(('i-1', 2, 3), (told.endpoint, told.rate, told.calls))
+        (reports,) = self.reports
+        self.assertEqual(
+            ('i-1', 2, 3), (reports.endpoint, reports.rate, reports.calls)
+        )
 
     async def test_entries_that_hear_of_a_limit_at_once(self):
         """Guards against entries that all wait equally long at first."""
-        self.name(2.0)
+        self.announce_limit(2.0)
         self.assertGreater(self.wait(), 0.5)
 
     async def test_calls_of_others_count(self):
-        self.tell(2.0, age_ms=0, calls=10)
+        self.receive_report(2.0, age_ms=0, calls=10)
         self.assertAlmostEqual(5.5, self.wait(), delta=0.51)
 
     async def test_calls_that_cannot_be_told(self):
         """Guards against unlinked entries that each use the whole rate."""
-        self.linked = False
-        self.name(2.0)
+        self.connected = False
+        self.announce_limit(2.0)
         self.limits.note_call(self.backend)
         await asyncio.sleep(0.05)
         self.assertAlmostEqual(3, self.wait(), delta=0.6)
@@ -173,19 +175,19 @@
     async def test_answer_that_was_overtaken(self):
         """Guards against a limit that old news lifts."""
         before = self.clock.monotonic()
-        self.name(2.0)
+        self.announce_limit(2.0)
         self.limits.note_answer(self.backend, None, before)
-        self.tell(None, age_ms=500)
+        self.receive_report(None, age_ms=500)
         self.assertEqual(2, self.backend.call_limit.rate)
 
     async def test_limit_that_is_over(self):
-        self.name(2.0)
+        self.announce_limit(2.0)
         await asyncio.sleep(0.05)
-        self.tell(None, age_ms=0)
+        self.receive_report(None, age_ms=0)
         self.assertEqual(0, self.wait())
         self.limits.note_call(self.backend)
         await asyncio.sleep(0.05)
-        self.assertEqual(1, len(self.told))
+        self.assertEqual(1, len(self.reports))
 
     async def test_back_end_that_is_not_known_yet(self):
         self.limits.take_told(wire.LimitTold('i-2', 2.0, 0, 1))
--- a/tests/test_enginepace.py
+++ b/tests/test_enginepace.py
@@ -3,15 +3,15 @@
 import unittest
 
 from primrosewood.enginepace import (
-    PROMPT_TOKENS_A_SECOND,
-    ReadingPace,
+    PROMPT_TOKENS_PER_SECOND,
+    PromptRateEstimator,
     TokenPace,
 )
 from primrosewood.expectedends import ExpectedEnds
 from primrosewood.moves import EngineRun
 
 
-class TokenPaceTest(unittest.TestCase):
+class TokenTimeEstimatorTest(unittest.TestCase):
     """What a token takes on one engine."""
 
     def test_follows_the_generations(self):
@@ -30,19 +30,21 @@
         self.assertEqual(0, pace.seconds)
 
 
-class ReadingPaceTest(unittest.TestCase):
+class PromptRateEstimatorTest(unittest.TestCase):
     """How fast prompts are read."""
 
     def test_follows_the_calls(self):
-        pace = ReadingPace()
+        pace = PromptRateEstimator()
         for _ in range(100):
             pace.observe(7000, 1.0)
-        self.assertAlmostEqual(7000, pace.tokens_a_second, delta=100)
+        self.assertAlmostEqual(7000, pace.tokens_per_second, delta=100)
 
     def test_one_stalled_call_does_not_change_it_much(self):
-        pace = ReadingPace()
+        pace = PromptRateEstimator()
         pace.observe(3000, 600)
-        self.assertGreater(pace.tokens_a_second, PROMPT_TOKENS_A_SECOND * 0.9)
+        self.assertGreater(
+            pace.tokens_per_second, PROMPT_TOKENS_PER_SECOND * 0.9
+        )
 
 
 class ExpectedEndsTest(unittest.TestCase):
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -19,13 +19,15 @@
     @settings(derandomize=True)
     @given(st.lists(st.integers(0, 200), max_size=20))
     def test_any_cut(self, cuts):
-        whole = b''.join(make_event(number) for number in range(12))
+        complete = b''.join(make_event(number) for number in range(12))
         splitter = EventSplitter()
         events = []
-        edges = sorted(min(cut, len(whole)) for cut in cuts)
-        for start, end in zip([0, *edges], [*edges, len(whole)], strict=True):
-            events += splitter.feed(whole[start:end])
-        self.assertEqual(whole, b''.join(events))
+        edges = sorted(min(cut, len(complete)) for cut in cuts)
+        for start, end in zip(
+            [0, *edges], [*edges, len(complete)], strict=True
+        ):
+            events += splitter.feed(complete[start:end])
+        self.assertEqual(complete, b''.join(events))
         self.assertEqual(12, len(events))
         self.assertEqual(b'', splitter.rest)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -94,7 +94,7 @@
     return b'id: %d\ndata: x\n\n' % number
 
 
-class _Cases(unittest.IsolatedAsyncioTestCase):
+class _RelayTestCase(unittest.IsolatedAsyncioTestCase):
     """A relay with three back ends."""
 
     def setUp(self):
@@ -158,7 +158,7 @@
         return caught.exception.kind
 
 
-class WholeAnswerTest(_Cases):
+class WholeAnswerTest(_RelayTestCase):
     """Calls that are answered whole."""
 
     async def test_first_answer(self):
@@ -216,7 +216,7 @@
         await asyncio.sleep(0.1)
         calling.cancel()
         await asyncio.wait([calling])
-        self.assertEqual(0, self.transport.legs[0].backend.failing)
+        self.assertEqual(0, self.transport.legs[0].backend.failure_rate)
 
     async def test_address_where_another_back_end_answers(self):
         """A call meets another engine at an old address, and goes elsewhere.
@@ -267,11 +267,11 @@
             self.backends.find(name).leaving = True
         reply = ScriptedReply()
 
-        async def take_long():
+        async def answer_late():
             await asyncio.sleep(0.3)
             yield b'late'
 
-        reply.parts = take_long
+        reply.parts = answer_late
         call = self.make_call(RouteKind.idempotent, max_endpoints=2)
         await self.answer(call, reply)
         self.assertEqual(b'late', self.sink.body)
@@ -298,7 +298,7 @@
         self.assertEqual([], self.transport.legs)
 
 
-class StreamTest(_Cases):
+class StreamTest(_RelayTestCase):
     """Streams, and what becomes of them when engines go."""
 
     async def test_whole_events_only(self):
@@ -323,11 +323,11 @@
                 ScriptedReply(make_event(2), make_event(3)),
             )
         )
-        posting = self.transport.send
+        original_send = self.transport.send
 
         @asynccontextmanager
         async def send(call, leg):
-            async with posting(call, leg) as reply:
+            async with original_send(call, leg) as reply:
                 self.notices.post(MoveNotice('ab12', 'e1:80', 'h', 'e2:80'))
                 yield reply
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -35,13 +35,15 @@
         for seconds, entry, repeat in steps:
             now += seconds
             budget = budgets[entry % entries]
-            budget.note_request(now)
+            budget.record_request(now)
             requests.append(now)
             if repeat and budget.spend(now):
                 repeats.append(now)
-            in_window = [at for at in requests if at >= now - 10]
-            repeated = [at for at in repeats if at >= now - 10]
-            self.assertLessEqual(len(repeated), len(in_window) * 0.2 + 50)
+            requests_in_window = [at for at in requests if at >= now - 10]
+            repeats_in_window = [at for at in repeats if at >= now - 10]
+            self.assertLessEqual(
+                len(repeats_in_window), len(requests_in_window) * 0.2 + 50
+            )
 
     def test_share_comes_back_with_time(self):
         budget = RepeatBudget(RULE, EntryCount(1))
@@ -57,9 +59,9 @@
     def test_share_of_a_second(self):
         limit = ColdLimit(EntryCount(4))
         sent = 0
-        while limit.has_room(40, 0.0):
-            limit.note(0.0)
+        while limit.has_capacity(40, 0.0):
+            limit.record_call(0.0)
             sent += 1
         self.assertEqual(8, sent)
-        self.assertFalse(limit.has_room(40, 1.0))
-        self.assertTrue(limit.has_room(40, 1.3))
+        self.assertFalse(limit.has_capacity(40, 1.0))
+        self.assertTrue(limit.has_capacity(40, 1.3))
--- a/tests/test_stop_bounds.py
+++ b/tests/test_stop_bounds.py
@@ -22,7 +22,7 @@
         exception for those who come back ends when the balancer has noticed,
         and not when the process does.
         """
-        window = StopWindow(2, noticed_seconds=2.6)
+        window = StopWindow(2, balancer_notice_seconds=2.6)
         window.begin(100)
         self.assertFalse(window.admits(make_call('a'), 1500, 101.9))
         window.end(102)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -13,13 +13,15 @@
 from primrosewood.routes import Route, RouteKind, Target
 from primrosewood.stopping import StopWindow
 
-ROUTE = Route('r', 'h', '/', RouteKind.streaming, (Target('s'),), 39, 1.8)
-PLAIN = Route('p', 'h', '/', RouteKind.idempotent, (Target('s'),), 4, 0.4)
+STREAMING_ROUTE = Route(
+    'r', 'h', '/', RouteKind.streaming, (Target('s'),), 39, 1.8
+)
+PLAIN_ROUTE = Route('p', 'h', '/', RouteKind.idempotent, (Target('s'),), 4, 0.4)
 
 SIZE = GenerationSize(3000, 2000)
 
 
-def make_call(name='a', size=SIZE, target='/x', route=ROUTE):
+def make_call(name='a', size=SIZE, target='/x', route=STREAMING_ROUTE):
     return DirectCall(
         name=name,
         method='POST',
@@ -40,7 +42,7 @@
     """Which streams may begin."""
 
     def setUp(self):
-        self.window = StopWindow(8, noticed_seconds=2.6)
+        self.window = StopWindow(8, balancer_notice_seconds=2.6)
 
     def test_everything_before_the_stop(self):
         self.assertTrue(self.window.admits(make_call(), 5000, 0))
@@ -66,12 +68,12 @@
         self.assertFalse(self.window.must_hold(label, 102.5))
         for judged in (102.6, 105.8, 107.4):
             self.assertTrue(self.window.must_hold(label, judged))
-        plain = make_call(size=None, route=PLAIN)
+        plain = make_call(size=None, route=PLAIN_ROUTE)
         self.assertFalse(self.window.must_hold(plain, 107))
 
     def test_plain_calls(self):
         self.window.begin(100)
-        call = make_call(size=None, route=PLAIN)
+        call = make_call(size=None, route=PLAIN_ROUTE)
         self.assertTrue(self.window.admits(call, 0, 107))
 
     def test_plain_call_in_the_last_moment(self):
@@ -81,7 +83,7 @@
         so that nobody may send it again; a refusal lets its caller do so.
         """
         self.window.begin(100)
-        call = make_call(size=None, route=PLAIN)
+        call = make_call(size=None, route=PLAIN_ROUTE)
         self.assertFalse(self.window.admits(call, 0, 107.7))
         self.assertFalse(self.window.admits(call, 0, 108.1))
 
@@ -93,8 +95,8 @@
         self.window.begin(100)
         self.assertTrue(self.window.admits(make_call(size=None), 0, 101))
         self.assertFalse(self.window.admits(make_call(size=None), 0, 103))
-        untold = make_call(size=GenerationSize(2200, 0))
-        self.assertFalse(self.window.admits(untold, 40, 103))
+        unlimited = make_call(size=GenerationSize(2200, 0))
+        self.assertFalse(self.window.admits(unlimited, 40, 103))
 
     def test_caller_that_comes_back(self):
         """The only entry of a failure domain is restarted.
@@ -155,17 +157,17 @@
         The line has what decided: why, the guess and where it came from, the
         most that the answer may hold, and the time that was left.
         """
-        told = []
+        logged = []
         sink = logger.add(
-            lambda message: told.append(message.record['extra']['pairs'])
+            lambda message: logged.append(message.record['extra']['pairs'])
         )
         self.addCleanup(logger.remove, sink)
         self.window.admits(make_call('a'), 1500, 99)
         self.window.begin(100)
         self.window.admits(make_call('b'), 1500, 102)
-        self.assertEqual(['b'], [pairs['request'] for pairs in told])
-        self.assertFalse(told[0]['admitted'])
-        self.assertEqual('too_long', told[0]['why'])
-        self.assertEqual(1500, told[0]['guess'])
-        self.assertEqual(2000, told[0]['most'])
-        self.assertEqual(6, told[0]['left'])
+        self.assertEqual(['b'], [pairs['request'] for pairs in logged])
+        self.assertFalse(logged[0]['admitted'])
+        self.assertEqual('too_long', logged[0]['why'])
+        self.assertEqual(1500, logged[0]['guess'])
+        self.assertEqual(2000, logged[0]['most'])
+        self.assertEqual(6, logged[0]['left'])
--- a/tests/windows.py
+++ b/tests/windows.py
@@ -1,12 +1,12 @@
 """Sliding windows over moments."""
 
 
-def most_in_window(moments, seconds):
+def most_in_window(times, seconds):
     """Return the most moments in any window of that length."""
     return max(
         (
-            sum(first <= at < first + seconds for at in moments)
-            for first in moments
+            sum(start <= time < start + seconds for time in times)
+            for start in times
         ),
         default=0,
     )
