--- a/primrosewood/backendset.py
+++ b/primrosewood/backendset.py
@@ -49,7 +49,7 @@
     draining
         Whether it takes no new calls.
     cold_seconds
-        How much longer it is cold, counted from the write of the record.
+        Seconds for which it was still cold when it wrote the record.
     boot
         Identifies the start of its process; a restarted process has none of
         the calls of the earlier one under the same name.
@@ -405,12 +405,12 @@
 
     def _store_failed_lately(self, now: float) -> bool:
         availability = self._store_availability
-        last_disturbed_at = max(
+        last_outage_at = max(
             availability.failed_at, availability.answering_since
         )
         return (
             not availability.answering
-            or now < last_disturbed_at + _OUTAGE_TAIL_SECONDS
+            or now < last_outage_at + _OUTAGE_TAIL_SECONDS
         )
 
     def _drop(self, name: str) -> None:
@@ -419,6 +419,6 @@
         # It may still announce itself until it has left.
         self._removed_names[name] = None
         if len(self._removed_names) > _MAX_REMOVED_NAMES:
-            self._removed_names.popitem(last_disturbed_at=False)
+            self._removed_names.popitem(last=False)
         # Calls in progress that refer to it must see that it is leaving.
         backend.leaving = True
--- a/primrosewood/balancing.py
+++ b/primrosewood/balancing.py
@@ -235,8 +235,8 @@
 def _memory_share(backend: Backend, context: Placing) -> float:
     """Return the share of memory that would be in use with the call.
 
-    The larger of this entry's own reservations and the engine's report
-    counts, as calls since the report are missing from it.
+    The engine's last report includes the calls of other entries; this entry's
+    later calls are added to it.  This entry's own calls count in any case.
     """
     reserved_tokens = backend.open_tokens
     total = context.memory_tokens
--- a/primrosewood/shares.py
+++ b/primrosewood/shares.py
@@ -215,8 +215,8 @@
         entries
             Number of entries.
         """
-        held_tokens = max(1, entries / _ENTRIES_PER_HELD_TOKEN)
-        self._held_tokens = draw * min(_MAX_HELD_TOKENS, held_tokens)
+        max_held = max(1, entries / _ENTRIES_PER_HELD_TOKEN)
+        self._held_tokens = draw * min(_MAX_HELD_TOKENS, max_held)
 
     def find_wait(self, now: float) -> float:
         """Return the seconds until a call may be sent, 0 for now."""
--- a/tests/test_backendset.py
+++ b/tests/test_backendset.py
@@ -1,4 +1,4 @@
-"""What an entry believes of back ends, without any I/O."""
+"""An entry's view of its back ends, without any I/O."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 class BackendSetTest(unittest.TestCase):
-    """Which back ends may get new work."""
+    """Which back ends may get new calls."""
 
     def setUp(self):
         self.backends = BackendSet(EntryCount(1))
@@ -20,18 +20,18 @@
     def usable_names(self):
         return sorted(each.name for each in self.backends.usable('s'))
 
-    def test_removal_in_quiet_times_counts_at_once(self):
-        """An engine leaves without saying so: its record is just removed."""
+    def test_removal_without_an_outage_applies_at_once(self):
+        """An engine leaves without notice: only its record is removed."""
         found = self.backends.take(make_record(), 100)
         self.assertTrue(self.backends.remove('e1', 100))
         self.assertEqual([], self.usable_names())
         self.assertTrue(found.stopping)
 
-    def test_records_that_lapse_in_an_outage_are_kept(self):
-        """The key-value service is away and all records lapse.
+    def test_records_that_expire_in_an_outage_are_kept(self):
+        """All records expire during an outage of the key-value service.
 
-        Callers would get refusals from every entry until the engines have
-        written theirs again, though all engines serve.
+        Guards against entries that refuse all calls until the engines, which
+        still serve, have written their records again.
         """
         for name in ('e1', 'e2'):
             self.backends.take(make_record(name), 100)
@@ -45,14 +45,14 @@
         self.assertEqual(['e2'], self.backends.settle(108.5))
         self.assertEqual(['e1'], self.usable_names())
 
-    def test_nothing_is_dropped_while_the_service_is_away(self):
+    def test_nothing_is_dropped_during_an_outage(self):
         self.backends.take(make_record(), 100)
         self.backends.note_store(answered=False, now=101)
         self.assertFalse(self.backends.remove('e1', 102))
         self.assertEqual([], self.backends.settle(200))
         self.assertEqual(['e1'], self.usable_names())
 
-    def test_every_source_can_stop_new_work(self):
+    def test_every_source_can_stop_new_calls(self):
         self.backends.take(make_record('e1', draining=True), 100)
         self.backends.take(make_record('e2'), 100).take_state(
             EngineState(leaving=True), 100
@@ -62,11 +62,11 @@
         self.backends.take_out('d2')
         self.assertEqual(['e4'], self.usable_names())
 
-    def test_domain_that_returns_may_be_cold(self):
-        """Operators take a failure domain back, whose engines turned cold.
+    def test_restored_domain_may_be_cold(self):
+        """Operators restore a failure domain whose engines have become cold.
 
-        Their records say so only with the next heartbeat; a full load in the
-        meantime makes a cold engine fall over.
+        Their records say so only with the next heartbeat; full load before
+        that would overload a cold engine.
         """
         found = self.backends.take(make_record(), 100)
         self.backends.take_out('d1')
@@ -76,12 +76,12 @@
         self.assertFalse(self.backends.is_cold(found, 114))
 
     def test_record_of_a_back_end_that_lost_power(self):
-        """All VMs lose power; engines come back under other names.
+        """All VMs lose power, and engines restart under other names.
 
-        Old records stand until they lapse, seconds later, and another engine
-        answers at their addresses that it is not the one. Tried again each
-        second they used up the share of repeats, and callers were refused
-        while the new engines had room.
+        Old records remain for some seconds until they expire, and another
+        engine at their address refuses the calls as misdirected.  Guards
+        against trying these addresses again each second, which used up the
+        retry budget so that calls failed while the new engines were idle.
         """
         old = self.backends.take(make_record('e1', revision=7), 100)
         self.backends.take(make_record('e2', revision=8), 100)
@@ -90,14 +90,14 @@
         # A listing shows the same record again.
         self.backends.take(make_record('e1', revision=7), 101)
         self.assertEqual(['e2'], self.usable_names())
-        # Its back end lives, and writes it anew.
+        # Its back end is alive and writes the record again.
         self.backends.take(make_record('e1', revision=9), 102)
         self.assertEqual(['e1', 'e2'], self.usable_names())
 
-    def test_another_start_under_the_same_name(self):
-        """An engine crashes and starts again under its name.
+    def test_restart_under_the_same_name(self):
+        """An engine crashes and restarts under its name.
 
-        What was open at the old one must not count at the new one.
+        Calls to the old process must not count at the new one.
         """
         old = self.backends.take(make_record(boot=1), 100)
         old.open_calls = 5
@@ -106,11 +106,11 @@
             0, self.backends.take(make_record(boot=2), 102).open_calls
         )
 
-    def test_report_that_has_grown_old(self):
-        """The process beside an engine stands still; its engine serves on.
+    def test_stale_report_is_dropped(self):
+        """The process beside an engine hangs while its engine still serves.
 
-        What was opened since is added to the old report for ever: the engine
-        would look ever fuller and get no more work.
+        Later calls are added to the last report.  Guards against an engine
+        that looks fuller and fuller until it gets no more calls.
         """
         found = self.backends.take(make_record(), 100)
         found.take_state(EngineState(running=7, total_tokens=9), 100)
@@ -121,17 +121,17 @@
         self.assertIsNone(found.state)
         self.assertEqual(0, found.unreported_tokens)
 
-    def test_old_report_of_a_leave_still_counts(self):
+    def test_stale_report_of_a_leaving_engine_still_counts(self):
         found = self.backends.take(make_record(), 100)
         found.take_state(EngineState(leaving=True), 100)
         found.drop_old_state(200)
         self.assertEqual([], self.usable_names())
 
-    def test_announced_engines_while_nothing_can_register(self):
+    def test_announced_engines_during_an_outage(self):
         """Engines are replaced during an outage of the key-value service.
 
-        The new ones cannot register, and the old ones are taken away one by
-        one: after a while entries would know hardly any.
+        New engines cannot register while old ones leave.  Guards against
+        entries that know hardly any engine after a while.
         """
         self.backends.note_store(answered=False, now=100)
         self.assertTrue(self.backends.announce(make_record(), 101))
@@ -147,8 +147,8 @@
         self.assertEqual([], self.backends.settle(101))
         self.assertEqual(['e1'], self.backends.settle(103))
 
-    def test_engine_that_left_is_not_taken_back(self):
-        """The process beside an engine announces it until it has gone."""
+    def test_engine_that_left_is_not_added_again(self):
+        """The process beside an engine announces it until it has left."""
         self.backends.take(make_record(), 100)
         self.backends.remove('e1', 101)
         self.assertFalse(self.backends.announce(make_record(), 102))
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -1,8 +1,8 @@
-"""Choice of a back end, under the loads of the two deployments.
+"""Choice of a back end, under typical loads.
 
-Engines hold 34,300 tokens; guides and certificates ask for 3,000 and more,
-so that eight to ten fill one; prompts are read one after another at 14 tokens
-a millisecond, and the first event is due after 1.8 s.
+Engines have memory for 34,300 tokens.  Long answers use 3,000 or more, so
+that eight to ten of them fill an engine.  Prompts are prefilled one after
+another at 14 tokens per millisecond, and the first event is due after 1.8 s.
 """
 
 import random
@@ -33,7 +33,7 @@
 
 
 class LeastPressedTest(unittest.TestCase):
-    """Where a call goes."""
+    """Which back end gets a call."""
 
     def setUp(self):
         self.balancer = LeastPressed(random.Random(1))
@@ -41,11 +41,11 @@
     def choose(self, backends, tokens=LONG_ANSWER):
         return self.balancer.choose(backends, make_context(tokens)).name
 
-    def test_prompts_that_wait_are_time_to_the_first_token(self):
-        """Four prompts wait at the near engine, none at a far one.
+    def test_waiting_prompts_delay_the_first_token(self):
+        """Four prompts wait at the near engine, none at the far one.
 
-        Choosing by slots alone kept 22 of 80 short questions waiting for over
-        1.5 s: four of 32 slots looked like an idle engine.
+        Guards against choosing by free slots alone: with 4 of 32 slots in use
+        an engine looked idle, and 22 of 80 short calls waited over 1.5 s.
         """
         near = make_backend('near')
         near.take_state(
@@ -55,13 +55,13 @@
         far.take_state(EngineState(running=6, total_tokens=MEMORY), 0)
         self.assertEqual('far', self.choose([near, far]))
 
-    def test_near_one_when_both_are_idle(self):
+    def test_own_failure_domain_when_both_are_idle(self):
         for _ in range(20):
             backends = [make_backend('near'), make_backend('far', 'd2')]
             self.assertEqual('near', self.choose(backends))
 
     def test_full_memory_is_avoided(self):
-        """An engine whose memory is nearly full preempts a running stream."""
+        """An engine whose memory is nearly full would preempt a stream."""
         full = make_backend('full')
         full.take_state(EngineState(used_tokens=32_000, total_tokens=MEMORY), 0)
         busy = make_backend('busy', 'd2')
@@ -71,7 +71,7 @@
         self.assertEqual('busy', self.choose([full, busy]))
 
     def test_burst_between_two_reports_is_spread(self):
-        """A burst comes faster than reports: own calls must count at once."""
+        """Calls that arrive between two reports must count at once."""
         backends = [make_backend(f'e{number}') for number in range(5)]
         for backend in backends:
             backend.take_state(EngineState(total_tokens=MEMORY), 0)
@@ -83,7 +83,8 @@
     def test_short_deadline_behind_long_prompts(self):
         """Three prompts wait at one engine, generations run at the other.
 
-        The short answer's first event is due after 1.5 s.
+        The first event of a short answer is due after 1.5 s, so that waiting
+        for other prompts costs more than sharing the decoding.
         """
         behind = make_backend('behind')
         behind.take_state(
@@ -102,11 +103,12 @@
         )
         self.assertEqual('beside', self.choose([behind, beside], SHORT_ANSWER))
 
-    def test_fast_engine_is_not_filled_to_the_brim(self):
-        """One engine makes tokens 1.3 times as fast as the others.
+    def test_fast_engine_is_not_overfilled(self):
+        """One engine decodes 1.3 times as fast as the other.
 
-        Chosen for its pace alone it held twice as many drafts, preempted some
-        and lost more than fit into its notice when it left.
+        Guards against choosing by speed alone: the fast engine then ran twice
+        as many long answers, preempted some, and on leaving lost those that
+        could not be copied within its notice period.
         """
         fast = make_backend('fast')
         slow = make_backend('slow')
@@ -126,12 +128,12 @@
         self.assertGreaterEqual(fast.open_calls, slow.open_calls)
         self.assertLessEqual(fast.open_calls, 7)
 
-    def test_ties_are_drawn(self):
+    def test_ties_are_broken_at_random(self):
         backends = [make_backend(f'e{number}') for number in range(4)]
         chosen = {self.choose(backends) for _ in range(60)}
         self.assertEqual(4, len(chosen))
 
-    def test_suspects_only_when_there_is_nobody_else(self):
+    def test_suspect_back_end_only_without_an_alternative(self):
         suspect = make_backend('suspect', suspect_until=5)
         self.assertEqual('suspect', self.choose([suspect]))
         busy = make_backend('busy', open_calls=20)
@@ -144,9 +146,9 @@
 
 
 class BookingTest(unittest.TestCase):
-    """A call's part in what a back end holds."""
+    """Load that a call adds to its back end."""
 
-    def test_release_gives_everything_back(self):
+    def test_release_restores_all_counters(self):
         backend = make_backend('e1')
         booking = Booking(Leg(backend), LONG_ANSWER)
         self.assertEqual(3079, backend.unread_tokens)
@@ -157,17 +159,21 @@
 
 
 class FailingBackendTest(unittest.TestCase):
-    """A back end that fails part of its calls while it looks well.
+    """A back end that fails some of its calls while it looks healthy.
 
-    Three alike stand behind an entry that sends five calls a second; one of
-    them resets 45 in 100 of its calls for twelve seconds, as engines with a
-    fault in one worker do. Its record, reports and health stay good.
+    An entry sends five calls per second to three equal back ends.  One of
+    them resets 45% of its calls for 12 s, as an engine with a fault in one
+    worker does.  Its record, reports and health checks stay good.
     """
 
     def run_fault(self, seed):
-        """Return the calls lost and the calls that the failing one got late.
+        """Simulate the fault.
 
-        Late is after its fault has ended.
+        Returns
+        -------
+        tuple[int, int]
+            Calls that failed, and calls that the failing back end got after
+            its fault had ended.
         """
         random_source = random.Random(seed)
         balancer = LeastPressed(random_source)
@@ -185,28 +191,27 @@
             calls_after_fault += chosen.name == 'failing' and now >= 25
         return lost, calls_after_fault
 
-    def test_it_is_tried_seldom_and_taken_back(self):
-        """Callers of one counter in three get an error, on and on.
+    def test_it_gets_few_calls_until_it_recovers(self):
+        """The back end is avoided for longer with each failure.
 
-        Set aside for a second after each failure it was back at once and lost
-        5.7 of the sixty calls of the twelve seconds in the mean; set aside
-        longer with each failure it loses 3.4.
+        With 1 s after each failure it lost 5.7 of the 60 calls in the mean;
+        with a time that grows with its failure rate it loses 3.4.
         """
         runs = [self.run_fault(seed) for seed in range(40)]
-        lost = sum(lost for lost, _returned in runs) / len(runs)
+        lost = sum(lost for lost, _after_fault in runs) / len(runs)
         self.assertLess(lost, 4)
-        # It gets its share again once its fault has ended.
+        # It gets its share of calls again after the fault.
         calls_after_fault = sum(
             calls_after_fault for _lost, calls_after_fault in runs
         ) / len(runs)
         self.assertGreater(calls_after_fault, 15)
 
-    def test_one_failure_sets_aside_for_a_second(self):
+    def test_one_failure_makes_suspect_for_a_second(self):
         backend = make_backend('a')
         backend.record_failure(10)
         self.assertAlmostEqual(11, backend.suspect_until)
 
-    def test_what_fails_always_is_tried_again_within_ten_seconds(self):
+    def test_always_failing_back_end_is_retried_within_ten_seconds(self):
         backend = make_backend('a')
         for _ in range(100):
             backend.record_failure(10)
--- a/tests/test_calllimits.py
+++ b/tests/test_calllimits.py
@@ -1,4 +1,4 @@
-"""Limits that back ends name for the calls of all entries together."""
+"""Rate limits that back ends set for the calls of all entries together."""
 
 import asyncio
 import heapq
@@ -17,12 +17,12 @@
 from .windows import most_in_window
 
 WINDOW_SECONDS = 4
-# From a call to its being told everywhere: gathered, sent, passed on.
+# From a call until all entries have its report: batched, sent, forwarded.
 REPORT_SECONDS = 0.015
 
 
 class EntrySimulation:
-    """Entries with callers who always wait, and one back end with a limit."""
+    """Entries with more calls than one rate-limited back end accepts."""
 
     def __init__(self, entries, rate, seed, report_seconds=REPORT_SECONDS):
         self._report_seconds = report_seconds
@@ -43,8 +43,8 @@
             if not limit.find_wait(now):
                 self._count(limit, now)
                 self.sent.append(now)
-                reports = (now + self._report_seconds, len(self.sent), limit)
-                heapq.heappush(self._pending_reports, reports)
+                report = (now + self._report_seconds, len(self.sent), limit)
+                heapq.heappush(self._pending_reports, report)
 
     def most_in_window(self):
         return most_in_window(self.sent, WINDOW_SECONDS)
@@ -65,7 +65,7 @@
 
 
 class CallLimitTest(unittest.TestCase):
-    """Calls of many entries to one back end."""
+    """Rate of the calls of many entries to one back end."""
 
     @settings(derandomize=True, max_examples=60, deadline=None)
     @given(
@@ -77,38 +77,38 @@
     def test_sum_over_entries_keeps_to_the_rate(
         self, entries, rate, demand, seed
     ):
-        """Guards against a sum beyond the limit, and against idle back ends."""
+        """Guards against a sum above the limit and against unused capacity."""
         simulation = EntrySimulation(entries, rate, seed)
         simulation.run(demand, 20)
         allowed = 1.5 * rate * WINDOW_SECONDS + 5
         self.assertLessEqual(simulation.most_in_window(), allowed)
         self.assertGreaterEqual(len(simulation.sent), 0.75 * rate * 20 - 2)
 
-    def test_entries_that_see_the_same_token(self):
-        """Guards against entries that all take the token they wait for."""
+    def test_entries_that_wait_for_the_same_token(self):
+        """Guards against entries that all take the same new token."""
         for seed in range(5):
             simulation = EntrySimulation(27, 0.5, seed)
             simulation.run(500, 20)
             with self.subTest(seed):
                 self.assertLessEqual(simulation.most_in_window(), 8)
 
-    def test_calls_that_are_told_late(self):
-        """Guards against overuse while links delay what entries tell."""
+    def test_calls_that_are_reported_late(self):
+        """Guards against exceeding the limit while links delay reports."""
         for seed in range(6):
             simulation = EntrySimulation(27, 1.8, seed, report_seconds=0.2)
             simulation.run(150, 20)
             with self.subTest(seed):
                 self.assertLessEqual(simulation.most_in_window(), 15)
 
-    def test_limit_of_none(self):
-        """Guards against entries that never learn that a limit of 0 is over."""
+    def test_limit_of_zero(self):
+        """Guards against never finding out that a limit of 0 is lifted."""
         limit = CallLimit()
         limit.take(0.0, 0, 0)
         self.assertEqual(10, limit.find_wait(0))
         limit.count(1, 10)
         self.assertEqual(10, limit.find_wait(10))
 
-    def test_older_news(self):
+    def test_outdated_report_is_ignored(self):
         limit = CallLimit()
         self.assertTrue(limit.take(2.0, 5, 5))
         self.assertFalse(limit.take(None, 4, 6))
@@ -118,7 +118,7 @@
 
 
 class CallLimitsTest(unittest.IsolatedAsyncioTestCase):
-    """What one entry hears from back ends and from the others."""
+    """Limits at one entry, as stated by back ends and by other entries."""
 
     async def asyncSetUp(self):
         self.clock = SystemClock()
@@ -145,27 +145,27 @@
     def receive_report(self, rate, age_ms, calls=0):
         self.limits.take_told(wire.LimitTold('i-1', rate, age_ms, calls))
 
-    async def test_others_are_told(self):
+    async def test_calls_are_reported_to_other_entries(self):
         self.announce_limit(2.0)
         for _ in range(3):
             self.limits.note_call(self.backend)
         await asyncio.sleep(0.05)
-        (reports,) = self.reports
+        (report,) = self.reports
         self.assertEqual(
-            ('i-1', 2, 3), (reports.endpoint, reports.rate, reports.calls)
+            ('i-1', 2, 3), (report.endpoint, report.rate, report.calls)
         )
 
-    async def test_entries_that_hear_of_a_limit_at_once(self):
-        """Guards against entries that all wait equally long at first."""
+    async def test_first_wait_is_randomised(self):
+        """Guards against entries that all wait equally long for a new limit."""
         self.announce_limit(2.0)
         self.assertGreater(self.wait(), 0.5)
 
-    async def test_calls_of_others_count(self):
+    async def test_calls_of_other_entries_count(self):
         self.receive_report(2.0, age_ms=0, calls=10)
         self.assertAlmostEqual(5.5, self.wait(), delta=0.51)
 
-    async def test_calls_that_cannot_be_told(self):
-        """Guards against unlinked entries that each use the whole rate."""
+    async def test_calls_that_cannot_be_reported(self):
+        """Guards against disconnected entries that each use the whole rate."""
         self.connected = False
         self.announce_limit(2.0)
         self.limits.note_call(self.backend)
@@ -173,14 +173,14 @@
         self.assertAlmostEqual(3, self.wait(), delta=0.6)
 
     async def test_answer_that_was_overtaken(self):
-        """Guards against a limit that old news lifts."""
+        """Guards against outdated answers and reports that lift a limit."""
         before = self.clock.monotonic()
         self.announce_limit(2.0)
         self.limits.note_answer(self.backend, None, before)
         self.receive_report(None, age_ms=500)
         self.assertEqual(2, self.backend.call_limit.rate)
 
-    async def test_limit_that_is_over(self):
+    async def test_lifted_limit(self):
         self.announce_limit(2.0)
         await asyncio.sleep(0.05)
         self.receive_report(None, age_ms=0)
@@ -189,6 +189,6 @@
         await asyncio.sleep(0.05)
         self.assertEqual(1, len(self.reports))
 
-    async def test_back_end_that_is_not_known_yet(self):
+    async def test_report_for_an_unknown_back_end(self):
         self.limits.take_told(wire.LimitTold('i-2', 2.0, 0, 1))
         self.assertEqual(0, self.wait())
--- a/tests/test_enginepace.py
+++ b/tests/test_enginepace.py
@@ -1,4 +1,4 @@
-"""Paces that are learned from what engines do."""
+"""Estimates of the prefill and decoding speed of engines."""
 
 import unittest
 
@@ -12,10 +12,10 @@
 
 
 class TokenTimeEstimatorTest(unittest.TestCase):
-    """What a token takes on one engine."""
+    """Decoding time per token of one engine."""
 
-    def test_follows_the_generations(self):
-        """Twenty readings a second, four tokens an event, ten a token."""
+    def test_converges_to_the_measured_time(self):
+        """20 samples per second, 4 tokens per event, 10 ms per token."""
         pace = TokenPace()
         for step in range(200):
             produced = step * 5 // 4 * 4
@@ -23,7 +23,7 @@
             pace.observe(runs, step / 20)
         self.assertAlmostEqual(0.01, pace.seconds, delta=0.001)
 
-    def test_says_nothing_of_an_idle_engine(self):
+    def test_no_estimate_for_an_idle_engine(self):
         pace = TokenPace()
         pace.observe([], 0)
         pace.observe([EngineRun('a', 3000, 1)], 0.05)
@@ -31,9 +31,9 @@
 
 
 class PromptRateEstimatorTest(unittest.TestCase):
-    """How fast prompts are read."""
+    """Prefill rate of a service's engines."""
 
-    def test_follows_the_calls(self):
+    def test_converges_to_the_measured_rate(self):
         pace = PromptRateEstimator()
         for _ in range(100):
             pace.observe(7000, 1.0)
@@ -48,7 +48,7 @@
 
 
 class ExpectedEndsTest(unittest.TestCase):
-    """Which generations end before their engine goes."""
+    """Which generations end before their engine leaves."""
 
     def setUp(self):
         self.ends = ExpectedEnds()
@@ -60,15 +60,15 @@
             EngineRun('unknown', 3000, 1),
         ]
 
-    def test_short_one_ends_by_itself(self):
+    def test_short_generation_ends_in_time(self):
         ending = self.ends.within(self.runs, 2.0, 0.01)
         self.assertEqual({'short'}, ending)
 
-    def test_no_guess_without_a_time_or_a_pace(self):
+    def test_no_prediction_without_a_time_or_a_speed(self):
         for seconds, pace in ((None, 0.01), (2.0, 0)):
             ending = self.ends.within(self.runs, seconds, pace)
             self.assertEqual(frozenset(), ending)
 
-    def test_one_that_outlived_its_guess_may_go_on(self):
+    def test_generation_beyond_its_expected_length(self):
         outlived = [EngineRun('short', 2500, 120)]
         self.assertEqual(frozenset(), self.ends.within(outlived, 2.0, 0.01))
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Server-sent events of direct streams."""
+"""Splitting and ordering of server-sent events."""
 
 import unittest
 
@@ -14,11 +14,11 @@
 
 
 class EventSplitterTest(unittest.TestCase):
-    """Whole events from any cut of the bytes."""
+    """Complete events, however the bytes are split into chunks."""
 
     @settings(derandomize=True)
     @given(st.lists(st.integers(0, 200), max_size=20))
-    def test_any_cut(self, cuts):
+    def test_any_chunks(self, cuts):
         complete = b''.join(make_event(number) for number in range(12))
         splitter = EventSplitter()
         events = []
@@ -31,11 +31,11 @@
         self.assertEqual(12, len(events))
         self.assertEqual(b'', splitter.rest)
 
-    def test_half_an_event_stays_back(self):
+    def test_partial_event_is_held_back(self):
         """An engine dies in the middle of an event.
 
-        What was handed on cannot be taken back, and the engine that goes on
-        sends that event again: the caller would see it one and a half times.
+        The engine that resumes the stream sends the whole event again.  Guards
+        against a caller that gets part of an event twice.
         """
         splitter = EventSplitter()
         self.assertEqual([make_event(1)], splitter.feed(make_event(1) + b'id'))
@@ -43,9 +43,9 @@
 
 
 class StreamOrderTest(unittest.TestCase):
-    """Each event once, in order."""
+    """Each event is accepted once, in order."""
 
-    def test_repeats_are_dropped_and_gaps_refused(self):
+    def test_duplicates_are_dropped_and_gaps_refused(self):
         order = StreamOrder()
         self.assertTrue(order.accept(make_event(1)))
         self.assertTrue(order.accept(make_event(2)))
@@ -54,7 +54,7 @@
             order.accept(make_event(4))
         self.assertEqual(2, order.last)
 
-    def test_ids(self):
+    def test_read_event_id(self):
         self.assertEqual(7, read_event_id(b'data: x\nid:7\n\n'))
         self.assertIsNone(read_event_id(b'data: id: 7\n\n'))
         self.assertIsNone(read_event_id(b'id: seven\n\n'))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Direct calls on their way, with a transport that is scripted."""
+"""Relaying of direct calls, over a transport with scripted replies."""
 
 import asyncio
 import random
@@ -43,7 +43,7 @@
 
 
 class ScriptedReply:
-    """An answer; an exception among the parts breaks it off."""
+    """Reply with given parts; an exception among them breaks it off."""
 
     def __init__(self, *parts, status=200):
         self.status = status
@@ -58,7 +58,7 @@
 
 
 class ScriptedTransport:
-    """Gives one scripted outcome for each send."""
+    """Returns or raises the next scripted outcome for each send."""
 
     def __init__(self):
         self.script = deque()
@@ -76,7 +76,7 @@
 
 
 class Sink:
-    """Keeps what the caller would get."""
+    """Records the answer that the caller would receive."""
 
     def __init__(self):
         self.head = None
@@ -95,7 +95,7 @@
 
 
 class _RelayTestCase(unittest.IsolatedAsyncioTestCase):
-    """A relay with three back ends."""
+    """Base of tests on a relay with three back ends."""
 
     def setUp(self):
         self.clock = SystemClock()
@@ -159,7 +159,7 @@
 
 
 class WholeAnswerTest(_RelayTestCase):
-    """Calls that are answered whole."""
+    """Calls to plain services, whose answers are buffered."""
 
     async def test_first_answer(self):
         await self.answer(
@@ -168,7 +168,7 @@
         self.assertEqual(b'ab', self.sink.body)
         self.assertEqual(2, self.sink.head.length)
 
-    async def test_refusals_are_taken_elsewhere(self):
+    async def test_refused_call_is_sent_to_another_back_end(self):
         await self.answer(
             self.make_call(RouteKind.non_idempotent),
             REFUSED,
@@ -178,11 +178,13 @@
         names = {leg.backend.name for leg in self.transport.legs}
         self.assertEqual({'e1', 'e2', 'e3'}, names)
 
-    async def test_non_idempotent_call_in_doubt_is_not_sent_again(self):
-        """A certificate is issued, and the answer is lost on the way.
+    async def test_non_idempotent_call_with_unknown_outcome_is_not_retried(
+        self,
+    ):
+        """The connection breaks after a non-idempotent call was sent.
 
-        A second try would put two serials on one drum; an answer that it did
-        not run would make the caller do the same.
+        The call may have run: a retry could run it twice, and an error that
+        claims that it did not run would make the caller retry it.
         """
         call = self.make_call(RouteKind.non_idempotent, max_endpoints=3)
         kind = await self.fail(call, CUT, ScriptedReply(b'a'))
@@ -190,10 +192,10 @@
         self.assertEqual(1, len(self.transport.legs))
 
     async def test_back_end_that_hangs_is_set_aside(self):
-        """A service takes calls and never answers some of them.
+        """A back end accepts calls and never answers some of them.
 
-        Its health is good and nothing is reset; each counter that asks there
-        waits to the route's end, and the next one was sent there again.
+        It reports good health and resets no connection.  Guards against
+        sending it further calls, each of which waits for the route's timeout.
         """
         call = self.make_call(RouteKind.non_idempotent, seconds=1)
         kind = await self.fail(call, HANG)
@@ -209,8 +211,8 @@
         names = [leg.backend.name for leg in self.transport.legs[1:]]
         self.assertNotIn(hanging.name, names)
 
-    async def test_caller_that_leaves_early_says_nothing_of_a_back_end(self):
-        """Some callers leave before their time; the back end is well."""
+    async def test_early_cancellation_does_not_count_as_failure(self):
+        """A caller that disconnects early does not make a back end suspect."""
         call = self.make_call(RouteKind.non_idempotent)
         calling = asyncio.create_task(self.answer(call, HANG))
         await asyncio.sleep(0.1)
@@ -219,9 +221,10 @@
         self.assertEqual(0, self.transport.legs[0].backend.failure_rate)
 
     async def test_address_where_another_back_end_answers(self):
-        """A call meets another engine at an old address, and goes elsewhere.
+        """Another engine answers at the address of an old record.
 
-        The old address is not tried again, however often callers ask.
+        The call is sent to another back end, and later calls avoid the old
+        address.
         """
         for _ in range(3):
             self.sink = Sink()
@@ -236,10 +239,10 @@
         self.assertNotIn(names[0], names[1:])
         self.assertEqual(2, len(self.backends.usable('s')))
 
-    async def test_refused_after_a_try_in_doubt(self):
-        """A look-up breaks off at one back end, and no other takes it.
+    async def test_refused_after_a_send_with_unknown_outcome(self):
+        """The answer breaks off at one back end, and the others refuse.
 
-        It may have run, so the caller must not hear that it did not.
+        The call may have run, so the error must not claim that it did not.
         """
         call = self.make_call(RouteKind.idempotent, max_endpoints=2)
         kind = await self.fail(call, CUT, REFUSED, REFUSED)
@@ -253,15 +256,15 @@
         self.assertEqual(ErrorKind.outcome_unknown, kind)
         self.assertEqual(2, len(self.transport.legs))
 
-    async def test_half_an_answer_is_replaced_by_a_whole_one(self):
+    async def test_partial_answer_is_replaced_by_a_complete_one(self):
         call = self.make_call(RouteKind.idempotent, max_endpoints=2)
         await self.answer(call, ScriptedReply(b'ha', CUT), ScriptedReply(b'w'))
         self.assertEqual(b'w', self.sink.body)
 
-    async def test_slow_answer_with_nowhere_else_to_go(self):
-        """A look-up takes longer than usual, and no other endpoint is left.
+    async def test_slow_answer_without_an_alternative(self):
+        """A call takes longer than usual and no other back end is left.
 
-        To give it up would turn a late answer into a failure.
+        Abandoning it would turn a late answer into a failure.
         """
         for name in ('e1', 'e2'):
             self.backends.find(name).leaving = True
@@ -276,7 +279,7 @@
         await self.answer(call, reply)
         self.assertEqual(b'late', self.sink.body)
 
-    async def test_nobody_is_there(self):
+    async def test_no_back_end_is_available(self):
         for name in ('e1', 'e2', 'e3'):
             self.backends.find(name).leaving = True
         kind = await self.fail(self.make_call(RouteKind.idempotent))
@@ -284,7 +287,11 @@
         self.assertEqual([], self.transport.legs)
 
     async def test_all_have_got_what_they_take(self):
-        """Guards against callers who wait, or return before there is room."""
+        """All back ends are at their rate limits.
+
+        The call fails at once, and its Retry-After is the time until the first
+        back end accepts a call.
+        """
         now = self.clock.monotonic()
         for rate, backend in zip(
             (0.5, 0.25, 0.2), self.backends.backends, strict=True
@@ -299,9 +306,9 @@
 
 
 class StreamTest(_RelayTestCase):
-    """Streams, and what becomes of them when engines go."""
+    """Streams, and their recovery when engines leave or fail."""
 
-    async def test_whole_events_only(self):
+    async def test_only_complete_events_are_forwarded(self):
         await self.answer(
             self.make_call(RouteKind.streaming),
             ScriptedReply(make_event(1)[:5], make_event(1)[5:] + make_event(2)),
@@ -309,11 +316,11 @@
         self.assertEqual(make_event(1) + make_event(2), self.sink.body)
         self.assertIsNone(self.sink.head.length)
 
-    async def test_moved_stream_goes_on(self):
-        """An engine is taken away in the middle of a guide.
+    async def test_moved_stream_is_resumed(self):
+        """An engine leaves in the middle of a stream.
 
-        Its run was copied and stopped; the other engine sends the last event
-        again and goes on. The reader sees each event once.
+        The generation was copied to another engine, which sends the last event
+        again and continues.  The caller gets each event once.
         """
         self.notices.post(MoveNotice('ab12', 'e1:80', 'h', 'e2:80'))
         call = self.make_call(RouteKind.streaming)
@@ -340,10 +347,10 @@
         self.assertEqual(2, resumption.last_event)
         self.assertEqual('h', resumption.handle)
 
-    async def test_stream_that_was_not_moved_is_never_begun_anew(self):
-        """An engine crashes in the middle of a certificate.
+    async def test_lost_stream_is_not_regenerated_by_default(self):
+        """An engine crashes in the middle of a stream.
 
-        Pieces of two generations must not meet in one answer.
+        Unless the route is resumable, one answer must not mix two generations.
         """
         call = self.make_call(RouteKind.streaming)
         kind = await self.fail(
@@ -352,7 +359,7 @@
         self.assertEqual(ErrorKind.generation_lost, kind)
         self.assertEqual(1, len(self.transport.legs))
 
-    async def test_missing_events_end_the_stream(self):
+    async def test_missing_events_fail_the_stream(self):
         call = self.make_call(RouteKind.streaming)
         kind = await self.fail(
             call, ScriptedReply(make_event(1), make_event(3))
@@ -360,7 +367,7 @@
         self.assertEqual(ErrorKind.generation_lost, kind)
         self.assertEqual(make_event(1), self.sink.body)
 
-    async def test_copy_that_was_used_up(self):
+    async def test_copy_that_is_no_longer_available(self):
         call = self.make_call(RouteKind.streaming)
 
         @asynccontextmanager
@@ -373,7 +380,7 @@
         self.transport.send = send
         self.assertEqual(ErrorKind.generation_lost, await self.fail(call))
 
-    async def test_refused_stream_is_sent_elsewhere(self):
+    async def test_refused_stream_is_sent_to_another_back_end(self):
         await self.answer(
             self.make_call(RouteKind.streaming),
             REFUSED,
@@ -381,7 +388,7 @@
         )
         self.assertEqual(make_event(1), self.sink.body)
 
-    async def test_failure_of_the_engine_is_passed_on(self):
+    async def test_error_response_of_the_engine_is_forwarded(self):
         await self.answer(
             self.make_call(RouteKind.streaming),
             ScriptedReply(b'no', status=500),
@@ -389,9 +396,9 @@
         self.assertEqual((500, b'no'), (self.sink.head.status, self.sink.body))
 
     async def test_timeout_is_answered(self):
-        """An engine falls silent before its first event.
+        """An engine stalls before its first event.
 
-        The caller is answered when the route's time is over, not held.
+        The caller gets an error when the route's timeout expires.
         """
         call = self.make_call(RouteKind.streaming, seconds=0.05)
         reply = ScriptedReply()
@@ -404,11 +411,11 @@
         kind = await self.fail(call, reply)
         self.assertEqual(ErrorKind.deadline_exceeded, kind)
 
-    async def test_short_answer_is_begun_anew_where_the_route_allows(self):
-        """An engine goes while it reads the prompt of a short answer.
+    async def test_lost_stream_of_a_resumable_route_is_regenerated(self):
+        """An engine leaves during the prefill of a call.
 
-        Callers of such routes may be given another generation; a failure made
-        them come back with all of their time spent.
+        A resumable route allows another generation.  Guards against an error,
+        after which the caller has no time left for a retry.
         """
         call = self.make_call(
             RouteKind.streaming, resumable=True, max_endpoints=2
@@ -419,10 +426,11 @@
         self.assertNotEqual(first.backend.name, second.backend.name)
         self.assertIsNone(second.after_event)
 
-    async def test_other_generation_goes_on_after_the_last_event(self):
-        """An engine crashes between two events of a short answer.
+    async def test_new_generation_continues_after_the_last_event(self):
+        """An engine crashes between two events of a resumable stream.
 
-        The caller gets each event once, and the engine is told which was last.
+        The caller gets each event once, and the new engine receives the number
+        of the last event.
         """
         call = self.make_call(
             RouteKind.streaming, resumable=True, max_endpoints=2
@@ -436,7 +444,7 @@
         self.assertEqual(events, self.sink.body)
         self.assertEqual(2, self.transport.legs[1].after_event)
 
-    async def test_begun_anew_at_no_more_endpoints_than_allowed(self):
+    async def test_regenerated_at_no_more_endpoints_than_allowed(self):
         call = self.make_call(
             RouteKind.streaming, resumable=True, max_endpoints=2
         )
@@ -444,8 +452,8 @@
         self.assertEqual(ErrorKind.outcome_unknown, kind)
         self.assertEqual(2, len(self.transport.legs))
 
-    async def test_log_tells_what_made_a_stream_late(self):
-        """Callers complain of late answers: was it the start or a pause?"""
+    async def test_log_shows_what_made_a_stream_late(self):
+        """The log distinguishes a late first event from a long pause."""
         reply = ScriptedReply()
 
         async def stall():
@@ -459,7 +467,7 @@
             await self.answer(call, reply)
         self.assertEqual('pause', log.call_args.kwargs['late'])
 
-    async def test_nothing_stays_booked(self):
+    async def test_failed_call_releases_its_reservation(self):
         call = self.make_call(RouteKind.streaming)
         await self.fail(call, ScriptedReply(make_event(1), CUT))
         for backend in self.backends.backends:
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes of direct calls."""
+"""Tables of the routes of direct calls."""
 
 import random
 import unittest
@@ -23,7 +23,7 @@
 
 
 class RouteTableTest(unittest.TestCase):
-    """Which route a call takes."""
+    """Which route and which target a call gets."""
 
     def test_longest_prefix_of_the_host(self):
         table = RouteTable(1, (make_route('/a/'), make_route('/a/b/')))
@@ -32,7 +32,7 @@
         self.assertIsNone(table.find('h', '/b/'))
         self.assertIsNone(table.find('other', '/a/'))
 
-    def test_targets_get_their_weights(self):
+    def test_targets_are_chosen_by_weight(self):
         targets = (Target('a', 90), Target('b', 10))
         draws = random.Random(3)
         chosen = [
@@ -47,11 +47,11 @@
 
 
 class TableHolderTest(unittest.TestCase):
-    """Which version is in force."""
+    """Which version of the table is held."""
 
     @settings(derandomize=True)
     @given(st.lists(st.integers(1, 50), min_size=1))
-    def test_the_newest_seen_whatever_the_order(self, versions):
+    def test_holds_newest_version_in_any_order(self, versions):
         holder = TableHolder()
         for version in versions:
             before = holder.version
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Shares of limits that hold for the sum over all entries."""
+"""Shares of limits that apply to the sum over all entries."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class RepeatBudgetTest(unittest.TestCase):
-    """Repeats of all entries together."""
+    """Retries of all entries together."""
 
     @settings(derandomize=True, max_examples=50)
     @given(
@@ -27,7 +27,7 @@
         ),
     )
     def test_sum_over_entries_stays_in_bounds(self, entries, steps):
-        """A storm of repeats at every entry, none hearing of another."""
+        """Entries that do not communicate keep the sum of their retries."""
         count = EntryCount(entries)
         budgets = [RepeatBudget(RULE, count) for _ in range(entries)]
         now = 0.0
@@ -45,7 +45,7 @@
                 len(repeats_in_window), len(requests_in_window) * 0.2 + 50
             )
 
-    def test_share_comes_back_with_time(self):
+    def test_share_is_restored_after_the_window(self):
         budget = RepeatBudget(RULE, EntryCount(1))
         while budget.spend(0.0):
             continue
--- a/tests/test_stop_bounds.py
+++ b/tests/test_stop_bounds.py
@@ -1,4 +1,4 @@
-"""What an entry promises at the edges of its stop."""
+"""Edge cases of an entry's planned stop."""
 
 import asyncio
 import unittest
@@ -13,14 +13,14 @@
 
 
 class EndedWindowTest(unittest.TestCase):
-    """A stop that ends before the balancer has noticed it."""
+    """A stop that ends before the load balancer has noticed it."""
 
-    def test_caller_that_comes_back_after_the_end(self):
-        """The operators give a process 2 s to stop; the balancer needs 2.6 s.
+    def test_retry_after_the_end(self):
+        """A process has 2 s to stop, and the load balancer needs 2.6 s.
 
-        A refused caller comes back as the process closes.  Cause: the
-        exception for those who come back ends when the balancer has noticed,
-        and not when the process does.
+        A refused caller retries as the process exits.  Guards against an
+        exception for retries that applies until the balancer has noticed the
+        stop, and not only until the process ends.
         """
         window = StopWindow(2, balancer_notice_seconds=2.6)
         window.begin(100)
@@ -30,13 +30,13 @@
 
 
 class EndedTimersTest(unittest.IsolatedAsyncioTestCase):
-    """Time limits that begin when all were ended."""
+    """Time limits that start after the timers have been ended."""
 
     async def test_limit_after_the_end(self):
-        """A head is read in the moment in which its process ends its calls.
+        """A request head is read just as the process ends its calls.
 
-        The rest of the body is awaited for 10 s, so that the connection is
-        closed without a word.
+        Guards against waiting 10 s for the body, so that the connection was
+        closed without an answer.
         """
         timers = TimerGroup()
         timers.end()
@@ -47,13 +47,13 @@
 
 
 class ReturnTest(Deployment):
-    """When a refused caller is told to come back."""
+    """Retry-After of a refused call."""
 
-    async def test_body_that_took_all_the_time(self):
-        """A caller waits 0.5 s; its body takes 1 s and ends during a stop.
+    async def test_body_that_takes_longer_than_the_deadline(self):
+        """A body takes 1 s, with a deadline of 0.5 s, and ends in a stop.
 
-        A third of what it waits is less than nothing: it was told to come
-        back after a negative time, which is no valid answer.
+        Guards against a Retry-After computed as a third of the remaining time
+        when that is negative, which is not a valid header.
         """
 
         async def send_body():
@@ -76,13 +76,14 @@
 
 
 class LateStallTest(Deployment):
-    """A stream that was let in late, and whose engine is slower than thought."""
+    """A stream that is admitted late and whose engine is slower than expected."""
 
     async def test_engine_that_stalls_after_its_first_event(self):
-        """A label begins with room to spare and its engine then stalls.
+        """A short stream begins in time, and then its engine stalls.
 
-        It came late, was handed on as it came and cut when the process ended:
-        its caller got a part of an answer in place of an error.
+        Guards against forwarding a stream that was admitted late as it
+        arrives: it was cut when the process ended, and its caller got part of
+        an answer instead of an error.
         """
         reading = asyncio.create_task(
             self.call('POST', '/guide/', name='ff00', headers=GUIDE)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,8 +1,8 @@
-"""What an entry takes on while it is being stopped.
+"""Admission of calls at an entry that is being stopped.
 
-The load: restarts of entries one after the other while guides and
-certificates of 100 to 2,000 tokens come in, each longer or shorter than the
-8 s that are left. Figures: 9 ms a token, 14,000 prompt tokens a second.
+The load is a rolling restart of entries while streams of 100 to 2,000 tokens
+arrive, some shorter and some longer than the 8 s of the stop.  Decoding takes
+9 ms per token, and 14,000 prompt tokens are prefilled per second.
 """
 
 import unittest
@@ -39,27 +39,27 @@
 
 
 class StopWindowTest(unittest.TestCase):
-    """Which streams may begin."""
+    """Which calls are admitted, and when refused callers may retry."""
 
     def setUp(self):
         self.window = StopWindow(8, balancer_notice_seconds=2.6)
 
-    def test_everything_before_the_stop(self):
+    def test_everything_is_admitted_before_the_stop(self):
         self.assertTrue(self.window.admits(make_call(), 5000, 0))
         self.assertFalse(self.window.begun)
 
-    def test_what_ends_in_time(self):
+    def test_only_streams_that_end_in_time(self):
         self.window.begin(100)
         self.assertTrue(self.window.admits(make_call(), 500, 100))
         self.assertFalse(self.window.admits(make_call(), 700, 100))
         later = make_call(target='/y')
         self.assertFalse(self.window.admits(later, 500, 102))
 
-    def test_late_stream_is_held(self):
-        """A label is let in late, begins in time, and its engine stalls.
+    def test_late_stream_is_buffered(self):
+        """A short stream is admitted late, begins, and its engine stalls.
 
-        Its caller must not get a part; a stream from before is handed on as
-        it comes, however little time is left.
+        Its caller must not get part of an answer.  A stream that was admitted
+        earlier is forwarded as it arrives, however little time is left.
         """
         label = make_call(size=GenerationSize(2200, 40))
         self.assertFalse(self.window.must_hold(label, 99))
@@ -71,16 +71,16 @@
         plain = make_call(size=None, route=PLAIN_ROUTE)
         self.assertFalse(self.window.must_hold(plain, 107))
 
-    def test_plain_calls(self):
+    def test_plain_call_with_enough_time(self):
         self.window.begin(100)
         call = make_call(size=None, route=PLAIN_ROUTE)
         self.assertTrue(self.window.admits(call, 0, 107))
 
     def test_plain_call_in_the_last_moment(self):
-        """A reorder comes 0.3 s before its entry ends.
+        """A plain call arrives 0.3 s before its entry exits.
 
-        It has no answer by then and ends in an error that promises nothing,
-        so that nobody may send it again; a refusal lets its caller do so.
+        Once begun, it would end with an unknown outcome, which the caller may
+        not retry; after a refusal it may.
         """
         self.window.begin(100)
         call = make_call(size=None, route=PLAIN_ROUTE)
@@ -88,9 +88,10 @@
         self.assertFalse(self.window.admits(call, 0, 108.1))
 
     def test_stream_of_unknown_size(self):
-        """A caller does not say how long its guide may become.
+        """A caller does not state the greatest length of its answer.
 
-        Early in a stop it is let in as before; late nothing says that it ends.
+        It is admitted early in a stop.  Late in the stop it is refused, as
+        nothing shows that the answer ends in time.
         """
         self.window.begin(100)
         self.assertTrue(self.window.admits(make_call(size=None), 0, 101))
@@ -98,11 +99,11 @@
         unlimited = make_call(size=GenerationSize(2200, 0))
         self.assertFalse(self.window.admits(unlimited, 40, 103))
 
-    def test_caller_that_comes_back(self):
-        """The only entry of a failure domain is restarted.
+    def test_retry_is_admitted(self):
+        """The load balancer has no other entry than the one that stops.
 
-        A caller is refused, the balancer has no other entry and sends it
-        back: it would be refused until the process ends.
+        It sends the retry of a refused caller back here.  Guards against
+        refusing that caller until the process exits.
         """
         self.window.begin(100)
         self.assertFalse(self.window.admits(make_call('a'), 1500, 100))
@@ -110,41 +111,40 @@
         other = make_call('c', target='/y')
         self.assertFalse(self.window.admits(other, 1500, 100.2))
 
-    def test_guess_late_in_the_stop(self):
-        """A caller guesses 93 tokens of 2,000 with 2.2 s left.
+    def test_length_hint_late_in_the_stop(self):
+        """A caller expects 93 of at most 2,000 tokens with 2.2 s left.
 
-        Half of all guesses are too short, some by far; the stream outlives
-        the process and its caller gets a part of a certificate.  Cause: a
-        bet was taken where nothing is left to win; the lines of the decision
-        proved it (let in, 93 guessed, 2.2 s left, cut after 270 tokens).
+        Half of all hints are too low, some by far.  Guards against admitting a
+        stream by its hint late in a stop: such a stream outlived the process
+        and was cut after 270 tokens.
         """
         self.window.begin(100)
         self.assertFalse(self.window.admits(make_call(), 93, 105.8))
 
-    def test_answer_that_cannot_be_long_late_in_the_stop(self):
-        """A label of 40 tokens at most ends in 2.2 s however it is guessed."""
+    def test_short_answer_late_in_the_stop(self):
+        """A stream of at most 40 tokens ends within 2.2 s in any case."""
         self.window.begin(100)
         call = make_call(size=GenerationSize(2200, 40))
         self.assertTrue(self.window.admits(call, 40, 105.8))
 
-    def test_caller_that_comes_back_late(self):
-        """The balancer sends a refused caller back with 2 s left.
+    def test_late_retry_is_refused(self):
+        """The load balancer sends a refused caller back with 2 s left.
 
-        A stream that is begun now is cut for certain, so that letting it in
-        only turns a refusal into half an answer.  Cause: the exception for
-        those who come back did not ask how much time was left; it let
-        callers in with 0.1 s to go.
+        Guards against an exception for retries that ignores the remaining
+        time: it admitted streams with 0.1 s left, which were certain to be
+        cut, so that the caller got part of an answer instead of a refusal.
         """
         self.window.begin(100)
         self.assertFalse(self.window.admits(make_call('a'), 1500, 105.9))
         self.assertFalse(self.window.admits(make_call('b'), 1500, 106))
 
-    def test_when_to_come_back(self):
-        """All entries are restarted at once; a refused caller comes back once.
+    def test_retry_after(self):
+        """All entries restart at once, and a refused caller retries once.
 
-        Early, others may be ready: at once.  Late, the balancer sends callers
-        here only for want of others, and 0.05 s later they met the same entry
-        and were refused for good: not before this one is back.
+        Early in the stop other entries may be ready, so the caller may retry
+        at once.  Late in the stop the load balancer has no other entry, and a
+        caller that retried after 0.05 s was refused again; it should wait
+        until this entry has restarted.
         """
         self.window.begin(100)
         self.assertEqual(0.05, self.window.return_seconds(101))
@@ -152,10 +152,10 @@
         self.assertAlmostEqual(2, self.window.return_seconds(108.1))
 
     def test_each_decision_is_logged(self):
-        """Somebody asks why a stream was let in that the stop then cut.
+        """The log explains why a stream was admitted that was cut later.
 
-        The line has what decided: why, the guess and where it came from, the
-        most that the answer may hold, and the time that was left.
+        It has the reason, the expected and the greatest length of the answer,
+        the caller's hint, and the remaining time.
         """
         logged = []
         sink = logger.add(
--- a/tests/windows.py
+++ b/tests/windows.py
@@ -1,8 +1,8 @@
-"""Sliding windows over moments."""
+"""Counting of events in sliding windows."""
 
 
 def most_in_window(times, seconds):
-    """Return the most moments in any window of that length."""
+    """Return the greatest number of times in any window of that length."""
     return max(
         (
             sum(start <= time < start + seconds for time in times)
