--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -145,7 +145,7 @@
         self.assertEqual('idle', self.choose([busy, idle], tokens=None))
 
 
-class BookingTest(unittest.TestCase):
+class ReservationTest(unittest.TestCase):
     """Load that a call adds to its back end."""
 
     def test_release_restores_all_counters(self):
