--- a/primrosewood/admission.py
+++ b/primrosewood/admission.py
@@ -6,9 +6,9 @@
 from .errors import ErrorKind, NotRunError
 from .fairness import FairQueue, Waiting
 from .gen_wire import Load
-from .lengths import LengthBook
-from .memory import Booking, MemoryBook
-from .warmup import ConcurrencyLimit, Targets
+from .lengths import LengthPredictor
+from .memory import Booking, MemoryTracker
+from .warmup import ConcurrencyLimit, ConcurrencyTargets
 
 __all__ = ('Admission', 'AdmissionRequest')
 
@@ -44,7 +44,7 @@
     kind: str
     template: str
     prompt_tokens: int
-    longest: int
+    max_output_tokens: int
     patience: float
     seconds_left: float
 
@@ -58,7 +58,11 @@
     """Limit, memory and fair queue of one endpoint, without I/O."""
 
     def __init__(
-        self, clock: Clock, targets: Targets, queue_length: int, capacity: int
+        self,
+        clock: Clock,
+        targets: ConcurrencyTargets,
+        queue_length: int,
+        capacity: int,
     ) -> None:
         """Start cold, with nothing running.
 
@@ -75,8 +79,8 @@
         """
         self._clock = clock
         self.limit = ConcurrencyLimit(targets)
-        self.lengths = LengthBook()
-        self.memory = MemoryBook(capacity, self.lengths)
+        self.lengths = LengthPredictor()
+        self.memory = MemoryTracker(capacity, self.lengths)
         self.queue = FairQueue(queue_length)
         self._running: dict[str, AdmissionRequest] = {}
         self._requests: dict[str, AdmissionRequest] = {}
@@ -164,7 +168,7 @@
         self._requests.pop(name)
         return True
 
-    def note_tokens(self, name: str, produced: int, added: int) -> None:
+    def record_tokens(self, name: str, produced: int, added: int) -> None:
         """Count tokens produced for a running request."""
         self.memory.grow(name, produced)
         request = self._running.get(name)
@@ -240,7 +244,7 @@
                 name=request.name,
                 organisation=request.organisation,
                 share=request.share,
-                expected=min(expected, request.longest),
+                expected=min(expected, request.max_output_tokens),
                 since=now,
                 until=now + request.patience,
                 deadline=now + request.seconds_left,
@@ -258,5 +262,5 @@
     return Booking(
         group=request.group,
         prompt=request.prompt_tokens,
-        longest=request.longest,
+        max_output_tokens=request.max_output_tokens,
     )
--- a/primrosewood/callplacement.py
+++ b/primrosewood/callplacement.py
@@ -22,7 +22,7 @@
     NotRunError,
     RequestFailedError,
 )
-from .lengths import LengthBook
+from .lengths import LengthPredictor
 from .logs import log_decision
 from .metrics import Metrics
 from .routes import EngineTraits, TableHolder
@@ -96,7 +96,7 @@
     random: RandomSource
     clock: Clock
     metrics: Metrics
-    lengths: LengthBook = field(default_factory=LengthBook)
+    lengths: LengthPredictor = field(default_factory=LengthPredictor)
     announce: Callable[[Backend, str, int, int], None] = _announce_nothing
     count_call: Callable[[Backend], None] = _count_nothing
 
--- a/primrosewood/memory.py
+++ b/primrosewood/memory.py
@@ -3,9 +3,9 @@
 import math
 from dataclasses import dataclass
 
-from .lengths import HORIZONS, LengthBook
+from .lengths import HORIZONS, LengthPredictor
 
-__all__ = ('Booking', 'MemoryBook')
+__all__ = ('Booking', 'MemoryTracker')
 
 _SPREADS = 3.0
 _MOST_SPREADS = 4.0
@@ -22,7 +22,7 @@
 
     group: tuple[str, ...]
     prompt: int
-    longest: int
+    max_output_tokens: int
     produced: int = 0
 
     @property
@@ -31,7 +31,7 @@
         return self.prompt + self.produced
 
 
-class MemoryBook:
+class MemoryTracker:
     """Pooled bookings of one engine.
 
     For each of a few horizons, a generation that still runs then holds what
@@ -52,7 +52,7 @@
         Lengths seen at this endpoint.
     """
 
-    def __init__(self, capacity: int, lengths: LengthBook) -> None:
+    def __init__(self, capacity: int, lengths: LengthPredictor) -> None:
         """Start with nothing booked."""
         self.capacity = capacity
         self._lengths = lengths
@@ -108,7 +108,7 @@
         self._grown = _STALE_TOKENS
         self._spreads = max(_SPREADS, self._spreads - _STEP_DOWN)
 
-    def note_preemptions(self, count: int) -> None:
+    def record_preemptions(self, count: int) -> None:
         """Keep more free after the engine ran out of memory."""
         raised = self._spreads + count * _STEP_UP
         self._spreads = min(_MOST_SPREADS, raised)
@@ -160,7 +160,7 @@
 
 
 def _hold(booking: Booking, index: int, alive: tuple[float, ...]) -> _Hold:
-    most = booking.prompt + booking.longest
+    most = booking.prompt + booking.max_output_tokens
     then = min(most, booking.held + HORIZONS[index])
     mean = alive[index] * then
     return _Hold(then, mean, mean * (then - mean))
