--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -4,7 +4,7 @@
 
 from primrosewood.admission import Admission
 from primrosewood.clock import Clock
-from primrosewood.lengths import HORIZONS, LengthPredictor, LengthForecast
+from primrosewood.lengths import HORIZONS, LengthForecast, LengthPredictor
 from primrosewood.memory import Booking, MemoryTracker
 from primrosewood.warmup import ConcurrencyTargets
 
