--- a/primrosewood/backendset.py
+++ b/primrosewood/backendset.py
@@ -174,12 +174,12 @@
         """Return seconds since the last report, None without one."""
         return None if self.state is None else now - self.state_at
 
-    def take_state(self, state: EngineState, now: float) -> None:
+    def update_state(self, state: EngineState, now: float) -> None:
         """Replace the engine's report by a newer one."""
         self.state_at = now
         self._replace_state(state)
 
-    def drop_old_state(self, now: float) -> bool:
+    def drop_stale_state(self, now: float) -> bool:
         """Drop a report that is too old; return whether it was dropped.
 
         Later calls are added to the last report, so that an engine with a
@@ -311,7 +311,7 @@
         self._drop(name)
         return True
 
-    def note_store(self, answered: bool, now: float) -> None:
+    def record_store_result(self, answered: bool, now: float) -> None:
         """Record whether the key-value service answered a call."""
         availability = self._store_availability
         if answered and not availability.answering:
--- a/primrosewood/balancing.py
+++ b/primrosewood/balancing.py
@@ -6,15 +6,15 @@
 
 from .backendset import Backend
 from .clock import RandomSource
-from .directcalls import Leg
+from .directcalls import BackendAttempt
 from .enginepace import PROMPT_TOKENS_PER_SECOND, TOKEN_SECONDS
 
 __all__ = (
     'Balancer',
-    'BookedTokens',
-    'Booking',
-    'LeastPressed',
-    'Placing',
+    'LeastCostBalancer',
+    'PlacementContext',
+    'Reservation',
+    'ReservedTokens',
 )
 
 
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BookedTokens:
+class ReservedTokens:
     """KV cache tokens that a generation is expected to use."""
 
     prompt: int
@@ -61,7 +61,7 @@
         return self.prompt + self.answer
 
 
-class Booking:
+class Reservation:
     """Load that a call in flight adds to its back end, as this entry sees it.
 
     Parameters
@@ -77,14 +77,18 @@
         Whether the back end prefills a prompt for the call.
     """
 
-    def __init__(self, leg: Leg, tokens: BookedTokens | None) -> None:
+    def __init__(
+        self, backend_attempt: BackendAttempt, tokens: ReservedTokens | None
+    ) -> None:
         """Add the call to the counters of its back end."""
-        backend = leg.backend
+        backend = backend_attempt.backend
         self.backend = backend
         self.first_event_at: float | None = None
         self._total_tokens = tokens.total if tokens else 0
         # A moved generation brings its KV cache and needs no prefill.
-        self.reads_prompt = tokens is not None and leg.resumption is None
+        self.reads_prompt = (
+            tokens is not None and backend_attempt.resumption is None
+        )
         self._unread_tokens = tokens.prompt if self.reads_prompt else 0
         backend.open_calls += 1
         backend.unread_tokens += self._unread_tokens
@@ -97,7 +101,7 @@
         """Whether any event of the answer has arrived."""
         return self.first_event_at is not None
 
-    def note_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Record an event; the first one shows that the prefill is done."""
         if self.first_event_at is None:
             self.first_event_at = now
@@ -115,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placing:
+class PlacementContext:
     """Inputs to the choice of a back end for one call.
 
     Attributes
@@ -138,7 +142,7 @@
 
     failure_domain: str
     now: float
-    tokens: BookedTokens | None = None
+    tokens: ReservedTokens | None = None
     memory_tokens: int = 0
     objective: float = 0
     prompt_rate: float = PROMPT_TOKENS_PER_SECOND
@@ -148,11 +152,13 @@
 class Balancer(Protocol):
     """Policy that chooses among back ends; ``usable`` is never empty."""
 
-    def choose(self, usable: Sequence[Backend], context: Placing) -> Backend:
+    def choose(
+        self, usable: Sequence[Backend], context: PlacementContext
+    ) -> Backend:
         """Return the back end that gets the call."""
 
 
-class LeastPressed:
+class LeastCostBalancer:
     """Chooses the back end with the lowest expected cost to the caller.
 
     Balancing by tokens instead of calls keeps few generations on each engine,
@@ -164,7 +170,9 @@
         """Start with the random source that breaks ties."""
         self._random = random
 
-    def choose(self, usable: Sequence[Backend], context: Placing) -> Backend:
+    def choose(
+        self, usable: Sequence[Backend], context: PlacementContext
+    ) -> Backend:
         """Return the back end that gets the call."""
         healthy = [
             backend
@@ -184,7 +192,7 @@
         return tied[int(self._random.random() * len(tied))]
 
 
-def _score(backend: Backend, context: Placing) -> float:
+def _score(backend: Backend, context: PlacementContext) -> float:
     if context.tokens is None:
         seconds = _service_seconds(backend)
     else:
@@ -199,7 +207,7 @@
     return _PLAIN_CALL_SECONDS * backend.open_calls / slots
 
 
-def _engine_seconds(backend: Backend, context: Placing) -> float:
+def _engine_seconds(backend: Backend, context: PlacementContext) -> float:
     tokens = context.tokens
     state = backend.state
     token_seconds = context.token_seconds
@@ -232,7 +240,7 @@
     return _LEAVE_RISK * share**2 + excess**2
 
 
-def _memory_share(backend: Backend, context: Placing) -> float:
+def _memory_share(backend: Backend, context: PlacementContext) -> float:
     """Return the share of memory that would be in use with the call.
 
     The engine's last report includes the calls of other entries; this entry's
--- a/primrosewood/calllimits.py
+++ b/primrosewood/calllimits.py
@@ -48,7 +48,7 @@
         self._send = send
         self._unreported_calls: dict[Backend, int] = {}
 
-    def note_answer(
+    def record_answer(
         self, backend: Backend, rate: float | None, sent_at: float
     ) -> None:
         """Update the limit of a back end from its answer to a call.
@@ -69,7 +69,7 @@
         if self._update_limit(backend, rate, age=0):
             self._schedule_report(backend, calls=0)
 
-    def note_call(self, backend: Backend) -> None:
+    def record_call(self, backend: Backend) -> None:
         """Count a call to a back end and report it to the other entries."""
         if backend.call_limit.rate is not None:
             self._count(backend, calls=1)
--- a/primrosewood/callplacement.py
+++ b/primrosewood/callplacement.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 
 from .backendset import Backend, BackendSet
-from .balancing import Balancer, BookedTokens, Booking, Placing
+from .balancing import Balancer, PlacementContext, Reservation, ReservedTokens
 from .callprogress import CallProgress
 from .clock import Clock, RandomSource
-from .directcalls import DirectCall, Leg
+from .directcalls import BackendAttempt, DirectCall
 from .enginepace import PromptRateEstimator
 from .errors import (
     BackendCutError,
@@ -28,7 +28,7 @@
 from .routes import EngineTraits, TableHolder
 from .shares import EntryCount, RepeatBudget, RepeatRule
 
-__all__ = ('CallPlacement', 'PlacementTools', 'RelayRules')
+__all__ = ('CallPlacement', 'PlacementDependencies', 'RelayRules')
 
 # Most sends of one call, whatever the retry budget allows.  A call that three
 # back ends refused is better served by an error with a Retry-After time.
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlacementTools:
+class PlacementDependencies:
     """Collaborators of `CallPlacement`.
 
     Attributes
@@ -104,14 +104,14 @@
 class CallPlacement:
     """Chooses a back end for each call and decides on retries."""
 
-    def __init__(self, dependencies: PlacementTools) -> None:
+    def __init__(self, dependencies: PlacementDependencies) -> None:
         """Start with empty retry budgets and default prompt rates."""
         self._deps = dependencies
         self._rules = dependencies.rules
         self._repeat_budgets: dict[str, RepeatBudget] = {}
         self._prompt_rates: dict[str, PromptRateEstimator] = {}
 
-    def take_rules(self, rules: RelayRules) -> None:
+    def update_rules(self, rules: RelayRules) -> None:
         """Apply changed limits; the calls and retries so far still count."""
         self._rules = rules
         for budget in self._repeat_budgets.values():
@@ -219,37 +219,41 @@
         return RequestFailedError(kind, retry_seconds=retry_seconds + jitter)
 
     @contextmanager
-    def reserve(self, progress: CallProgress, leg: Leg) -> Iterator[Booking]:
+    def reserve(
+        self, progress: CallProgress, backend_attempt: BackendAttempt
+    ) -> Iterator[Reservation]:
         """Count a call against its back end while it is in flight there."""
         now = self._now()
         call = progress.call
-        leg.backend.cold_limit.record_call(now)
-        self._deps.count_call(leg.backend)
+        backend_attempt.backend.cold_limit.record_call(now)
+        self._deps.count_call(backend_attempt.backend)
         progress.sends += 1
-        if leg.resumption is not None:
+        if backend_attempt.resumption is not None:
             self._repeat_budget(call.service).spend(now)
-        backlog = leg.backend.prefill_backlog
+        backlog = backend_attempt.backend.prefill_backlog
         tokens = self._expected_tokens(call)
-        booking = Booking(leg, tokens)
+        reservation = Reservation(backend_attempt, tokens)
         if tokens is not None:
-            unread = tokens.prompt if booking.reads_prompt else 0
-            self._deps.announce(leg.backend, call.name, unread, tokens.total)
+            unread = tokens.prompt if reservation.reads_prompt else 0
+            self._deps.announce(
+                backend_attempt.backend, call.name, unread, tokens.total
+            )
         try:
-            yield booking
+            yield reservation
         except NotRunError as error:
-            self._record_refusal(leg.backend, error)
+            self._record_refusal(backend_attempt.backend, error)
             raise
         except BackendCutError:
-            leg.backend.record_failure(self._now())
+            backend_attempt.backend.record_failure(self._now())
             raise
         except asyncio.CancelledError:
-            self._record_unanswered(call, booking, now)
+            self._record_unanswered(call, reservation, now)
             raise
         else:
-            leg.backend.record_success()
-            self._observe_prompt_rate(call, booking, backlog, now)
+            backend_attempt.backend.record_success()
+            self._observe_prompt_rate(call, reservation, backlog, now)
         finally:
-            booking.release()
+            reservation.release()
             self._deps.metrics.record('send', self._now() - now)
 
     def observe_answer_length(self, progress: CallProgress) -> None:
@@ -274,16 +278,20 @@
             raise self.make_failure(progress, ErrorKind.outcome_unknown)
         return backend
 
-    def guess_length(self, call: DirectCall) -> int:
+    def estimate_answer_tokens(self, call: DirectCall) -> int:
         """Return the expected number of tokens in a call's answer."""
         size = call.size
         if size is None:
             return 0
         expected = size.hint
         if not expected:
-            prediction = self._deps.lengths.predict(_length_group(call), 0)
-            expected = int(prediction.remaining)
-        return min(expected, size.most_tokens) if size.most_tokens else expected
+            forecast = self._deps.lengths.predict(_length_group(call), 0)
+            expected = int(forecast.remaining)
+        return (
+            min(expected, size.max_answer_tokens)
+            if size.max_answer_tokens
+            else expected
+        )
 
     def engine_traits(self, service: str) -> EngineTraits | None:
         """Return the traits of a service's engines, None for plain services."""
@@ -302,7 +310,7 @@
             backend.mark_suspect(self._now())
 
     def _record_unanswered(
-        self, call: DirectCall, booking: Booking, since: float
+        self, call: DirectCall, reservation: Reservation, since: float
     ) -> None:
         """Count a cancelled call as failed if it got no event in time.
 
@@ -311,8 +319,8 @@
         """
         now = self._now()
         silence_limit = _SILENT_OBJECTIVES * call.route.objective
-        if not booking.answered and now >= since + silence_limit:
-            booking.backend.record_failure(now)
+        if not reservation.answered and now >= since + silence_limit:
+            reservation.backend.record_failure(now)
 
     def _list_candidates(
         self, progress: CallProgress, now: float
@@ -320,7 +328,7 @@
         return [
             backend
             for backend in self._list_eligible(progress, now)
-            if not backend.call_limit.find_wait(now)
+            if not backend.call_limit.seconds_until_call(now)
         ]
 
     def _list_eligible(
@@ -338,7 +346,7 @@
     ) -> RequestFailedError:
         """Return the error for a call that no back end may get now."""
         waits = [
-            backend.call_limit.find_wait(now)
+            backend.call_limit.seconds_until_call(now)
             for backend in self._list_eligible(progress, now)
         ]
         if not waits:
@@ -348,13 +356,13 @@
             progress, ErrorKind.overloaded, retry_seconds=min(waits)
         )
 
-    def _make_context(self, call: DirectCall, now: float) -> Placing:
+    def _make_context(self, call: DirectCall, now: float) -> PlacementContext:
         domain = self._rules.failure_domain
         tokens = self._expected_tokens(call)
         if tokens is None:
-            return Placing(domain, now)
+            return PlacementContext(domain, now)
         traits = self.engine_traits(call.service)
-        return Placing(
+        return PlacementContext(
             failure_domain=domain,
             now=now,
             tokens=tokens,
@@ -368,12 +376,16 @@
         return self._prompt_rates.setdefault(service, PromptRateEstimator())
 
     def _observe_prompt_rate(
-        self, call: DirectCall, booking: Booking, backlog: int, sent: float
+        self,
+        call: DirectCall,
+        reservation: Reservation,
+        backlog: int,
+        sent: float,
     ) -> None:
-        if booking.first_event_at is None or not booking.reads_prompt:
+        if reservation.first_event_at is None or not reservation.reads_prompt:
             return
         tokens = backlog + call.size.prompt_tokens
-        seconds = booking.first_event_at - sent
+        seconds = reservation.first_event_at - sent
         self._prompt_rate(call.service).observe(tokens, seconds)
 
     def _has_cold_capacity(self, backend: Backend, now: float) -> bool:
@@ -387,11 +399,13 @@
         rate += self._rules.cold_slack
         return backend.cold_limit.has_capacity(rate, now)
 
-    def _expected_tokens(self, call: DirectCall) -> BookedTokens | None:
+    def _expected_tokens(self, call: DirectCall) -> ReservedTokens | None:
         size = call.size
         if size is None:
             return None
-        return BookedTokens(size.prompt_tokens, self.guess_length(call))
+        return ReservedTokens(
+            size.prompt_tokens, self.estimate_answer_tokens(call)
+        )
 
     def _repeat_budget(self, service: str) -> RepeatBudget:
         budget = self._repeat_budgets.get(service)
--- a/primrosewood/callprogress.py
+++ b/primrosewood/callprogress.py
@@ -44,7 +44,7 @@
     longest_pause: float = 0
     _last_event_at: float = 0
 
-    def note_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Record that events are sent to the caller."""
         if self.first_event is None:
             self.first_event = now - self.call.arrived
--- a/primrosewood/directcalls.py
+++ b/primrosewood/directcalls.py
@@ -11,11 +11,11 @@
 __all__ = (
     'AnswerHead',
     'AnswerSink',
+    'BackendAttempt',
     'BackendReply',
     'DirectCall',
     'GenerationSize',
     'Header',
-    'Leg',
     'Resumption',
     'Transport',
 )
@@ -31,14 +31,14 @@
     ----------
     prompt_tokens
         Length of the prompt.
-    most_tokens
+    max_answer_tokens
         Greatest length of the answer, 0 if the caller sets none.
     hint
         The caller's estimate of the answer's length, 0 without one.
     """
 
     prompt_tokens: int
-    most_tokens: int
+    max_answer_tokens: int
     hint: int = 0
 
 
@@ -122,7 +122,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leg:
+class BackendAttempt:
     """One send of a call to a back end.
 
     Attributes
@@ -165,7 +165,7 @@
     """Sends a direct call to one back end, over a connection of its own."""
 
     def send(
-        self, call: DirectCall, leg: Leg
+        self, call: DirectCall, backend_attempt: BackendAttempt
     ) -> AbstractAsyncContextManager[BackendReply]:
         """Send a call; leaving the context aborts an answer in progress.
 
--- a/primrosewood/enginekeeper.py
+++ b/primrosewood/enginekeeper.py
@@ -12,7 +12,7 @@
 from .clock import Clock, RandomSource
 from .codec import Message
 from .enginemover import EngineMover
-from .enginepace import TokenPace
+from .enginepace import TokenTimeEstimator
 from .enginereports import EngineReports
 from .errors import BackendCutError
 from .link import Link
@@ -62,7 +62,7 @@
             ask=self._ask_some,
         )
         self._reports = EngineReports()
-        self._pace = TokenPace()
+        self._pace = TokenTimeEstimator()
         self._gathering: asyncio.TimerHandle | None = None
         self._reading: EngineReading | None = None
         self._engine_answers = asyncio.Event()
@@ -180,7 +180,7 @@
         self.found = None
         self._engine_answers.clear()
         self._named.clear()
-        self._pace = TokenPace()
+        self._pace = TokenTimeEstimator()
         self._reports.take(_GONE, self._clock.monotonic())
         # Entries would take silence for the loss of this process.
         self._tell()
--- a/primrosewood/enginepace.py
+++ b/primrosewood/enginepace.py
@@ -12,7 +12,7 @@
     'PROMPT_TOKENS_PER_SECOND',
     'TOKEN_SECONDS',
     'PromptRateEstimator',
-    'TokenPace',
+    'TokenTimeEstimator',
 )
 
 # Engines prefill one prompt after the other, so prompts that wait before a call
@@ -31,7 +31,7 @@
 _MAX_PROMPT_RATE = 200_000
 
 
-class TokenPace:
+class TokenTimeEstimator:
     """Estimates the decoding time per token of one engine.
 
     Attributes
--- a/primrosewood/engineview.py
+++ b/primrosewood/engineview.py
@@ -82,7 +82,7 @@
         """Give up what is silent, or whose engine left long ago."""
         now = self._clock.monotonic()
         for backend in self._backends.backends:
-            if backend.drop_old_state(now):
+            if backend.drop_stale_state(now):
                 log_event('reports_stopped', 'WARNING', endpoint=backend.name)
         for address, since in list(self._unlisted.items()):
             if now > since + _LINGER_SECONDS:
@@ -107,7 +107,8 @@
                 _free_tokens(backend),
             )
             for backend in self._backends.usable(service)
-            if _has_slot(backend) and not backend.call_limit.find_wait(now)
+            if _has_slot(backend)
+            and not backend.call_limit.seconds_until_call(now)
         ]
 
     def take_found(self, found: wire.EngineFound) -> bool:
@@ -216,7 +217,7 @@
         if backend.state is None:
             log_event('reports_heard', endpoint=backend.name)
         was_stopping = backend.stopping
-        backend.take_state(read_report(report), self._clock.monotonic())
+        backend.update_state(read_report(report), self._clock.monotonic())
         if backend.stopping != was_stopping:
             log_event(
                 'endpoint_reported',
--- a/primrosewood/relay.py
+++ b/primrosewood/relay.py
@@ -4,16 +4,16 @@
 from dataclasses import dataclass
 
 from .backendset import Backend
-from .balancing import Booking
+from .balancing import Reservation
 from .callplacement import CallPlacement
 from .callprogress import CallProgress
 from .clock import Clock
 from .directcalls import (
     AnswerHead,
     AnswerSink,
+    BackendAttempt,
     BackendReply,
     DirectCall,
-    Leg,
     Resumption,
     Transport,
 )
@@ -31,7 +31,7 @@
 from .moves import MoveNotice, NoticeBoard
 from .timers import TimerGroup
 
-__all__ = ('Relay', 'RelayTools')
+__all__ = ('Relay', 'RelayDependencies')
 
 # A repeatable call without an answer after this share of its objective is sent
 # to another back end, which can still answer within the objective.  Nine in
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayTools:
+class RelayDependencies:
     """Collaborators of `Relay`."""
 
     placement: CallPlacement
@@ -66,7 +66,7 @@
 class Relay:
     """Forwards direct calls to back ends and their answers to the callers."""
 
-    def __init__(self, dependencies: RelayTools) -> None:
+    def __init__(self, dependencies: RelayDependencies) -> None:
         """Start without calls."""
         self._deps = dependencies
         self._placement = dependencies.placement
@@ -98,9 +98,9 @@
         """
         self._timers.end()
 
-    def guess_length(self, call: DirectCall) -> int:
+    def estimate_answer_tokens(self, call: DirectCall) -> int:
         """Return the expected number of tokens in a call's answer."""
-        return self._placement.guess_length(call)
+        return self._placement.estimate_answer_tokens(call)
 
     def _make_timeout_failure(
         self, progress: CallProgress
@@ -152,48 +152,61 @@
     async def _fetch_once(
         self, progress: CallProgress, backend: Backend
     ) -> tuple[AnswerHead, bytes]:
-        leg = Leg(backend)
-        with self._placement.reserve(progress, leg):
-            async with self._deps.transport.send(progress.call, leg) as reply:
+        backend_attempt = BackendAttempt(backend)
+        with self._placement.reserve(progress, backend_attempt):
+            async with self._deps.transport.send(
+                progress.call, backend_attempt
+            ) as reply:
                 return await _read_body(reply)
 
     async def _answer_stream(
         self, progress: CallProgress, sink: AnswerSink
     ) -> None:
-        leg = self._choose_attempt(progress)
+        backend_attempt = self._choose_attempt(progress)
         while True:
             try:
-                await self._stream_attempt(progress, leg, sink)
+                await self._stream_attempt(progress, backend_attempt, sink)
             except NotRunError as error:
-                leg = self._retry_refused(progress, leg, error)
+                backend_attempt = self._retry_refused(
+                    progress, backend_attempt, error
+                )
             except (BackendCutError, WireError) as error:
-                leg = await self._continue_stream(progress, leg, error)
+                backend_attempt = await self._continue_stream(
+                    progress, backend_attempt, error
+                )
             else:
                 return
 
     async def _stream_attempt(
-        self, progress: CallProgress, leg: Leg, sink: AnswerSink
+        self,
+        progress: CallProgress,
+        backend_attempt: BackendAttempt,
+        sink: AnswerSink,
     ) -> None:
         call = progress.call
         # The notice of an earlier move must not be taken for that of a later
         # broken connection.
         self._deps.notices.forget(call.name)
-        with self._placement.reserve(progress, leg) as booking:
-            async with self._deps.transport.send(call, leg) as reply:
+        with self._placement.reserve(progress, backend_attempt) as reservation:
+            async with self._deps.transport.send(
+                call, backend_attempt
+            ) as reply:
                 if reply.status == _STATUS_OK:
-                    await self._forward_events(progress, reply, sink, booking)
+                    await self._forward_events(
+                        progress, reply, sink, reservation
+                    )
                 else:
                     await self._forward_error(progress, reply, sink)
                 status = reply.status
         self._placement.observe_answer_length(progress)
-        self._record_answer(progress, leg.backend, status)
+        self._record_answer(progress, backend_attempt.backend, status)
 
     async def _forward_events(
         self,
         progress: CallProgress,
         reply: BackendReply,
         sink: AnswerSink,
-        booking: Booking,
+        reservation: Reservation,
     ) -> None:
         splitter = EventSplitter()
         async for part in reply.parts():
@@ -202,8 +215,8 @@
             if not new_events:
                 continue
             now = self._deps.clock.monotonic()
-            booking.note_event(now)
-            progress.note_event(now)
+            reservation.record_event(now)
+            progress.record_event(now)
             if not progress.answer_begun:
                 progress.answer_begun = True
                 await sink.begin(AnswerHead(reply.status, reply.headers))
@@ -223,27 +236,35 @@
         await sink.begin(head)
         await sink.write(body)
 
-    def _choose_attempt(self, progress: CallProgress) -> Leg:
+    def _choose_attempt(self, progress: CallProgress) -> BackendAttempt:
         backend = self._placement.choose(progress)
-        return Leg(backend, after_event=progress.order.last)
+        return BackendAttempt(backend, after_event=progress.order.last)
 
     def _retry_refused(
-        self, progress: CallProgress, leg: Leg, error: NotRunError
-    ) -> Leg:
-        if leg.resumption is not None:
+        self,
+        progress: CallProgress,
+        backend_attempt: BackendAttempt,
+        error: NotRunError,
+    ) -> BackendAttempt:
+        if backend_attempt.resumption is not None:
             raise self._placement.make_failure(
                 progress, ErrorKind.outcome_unknown, error
             ) from error
-        self._placement.handle_failed_send(progress, leg.backend, error)
+        self._placement.handle_failed_send(
+            progress, backend_attempt.backend, error
+        )
         return self._choose_attempt(progress)
 
     async def _continue_stream(
-        self, progress: CallProgress, leg: Leg, error: Exception
-    ) -> Leg:
+        self,
+        progress: CallProgress,
+        backend_attempt: BackendAttempt,
+        error: Exception,
+    ) -> BackendAttempt:
         """Return the attempt that continues a stream that was cut."""
-        notice = await self._await_notice(progress, leg.backend)
+        notice = await self._await_notice(progress, backend_attempt.backend)
         if notice is None or not notice.handle:
-            return self._restart_generation(progress, leg, error)
+            return self._restart_generation(progress, backend_attempt, error)
         progress.possible_runs = max(1, progress.possible_runs)
         last_event = progress.order.last
         log_decision(
@@ -256,14 +277,17 @@
         )
         self._deps.metrics.count('resumed')
         backend = self._placement.find_address(progress, notice.target)
-        return Leg(
+        return BackendAttempt(
             backend,
             Resumption(notice.source, notice.handle, last_event),
         )
 
     def _restart_generation(
-        self, progress: CallProgress, leg: Leg, error: Exception
-    ) -> Leg:
+        self,
+        progress: CallProgress,
+        backend_attempt: BackendAttempt,
+        error: Exception,
+    ) -> BackendAttempt:
         """Return the attempt that replaces a lost generation by a new one.
 
         Raises
@@ -277,7 +301,9 @@
                 progress, ErrorKind.outcome_unknown, error
             ) from error
         cut_error = BackendCutError(str(error))
-        self._placement.handle_failed_send(progress, leg.backend, cut_error)
+        self._placement.handle_failed_send(
+            progress, backend_attempt.backend, cut_error
+        )
         self._deps.metrics.count('begun_anew')
         return self._choose_attempt(progress)
 
--- a/primrosewood/shares.py
+++ b/primrosewood/shares.py
@@ -218,7 +218,7 @@
         max_held = max(1, entries / _ENTRIES_PER_HELD_TOKEN)
         self._held_tokens = draw * min(_MAX_HELD_TOKENS, max_held)
 
-    def find_wait(self, now: float) -> float:
+    def seconds_until_call(self, now: float) -> float:
         """Return the seconds until a call may be sent, 0 for now."""
         if self._rate is None:
             return 0
--- a/primrosewood/stopping.py
+++ b/primrosewood/stopping.py
@@ -110,13 +110,13 @@
             why=why,
             guess=answer_tokens,
             hint=size.hint if size else None,
-            most=size.most_tokens if size else None,
+            most=size.max_answer_tokens if size else None,
             prompt=size.prompt_tokens if size else None,
             left=left,
         )
         return why != _TOO_LONG
 
-    def return_seconds(self, now: float) -> float:
+    def seconds_until_retry(self, now: float) -> float:
         """Return the Retry-After seconds for a refused caller.
 
         Early in the stop another entry may be ready and can still answer on
@@ -128,7 +128,7 @@
             return _RETRY_ELSEWHERE_SECONDS
         return max(0, self._ends_at - now) + _RESTART_SECONDS
 
-    def must_hold(self, call: DirectCall, admitted_at: float) -> bool:
+    def must_buffer(self, call: DirectCall, admitted_at: float) -> bool:
         """Return whether a stream is sent only once it is complete.
 
         A stream that was admitted late ends before the process at any usual
@@ -174,9 +174,9 @@
 
 
 def _longest_seconds(size: GenerationSize | None) -> float:
-    if size is None or not size.most_tokens:
+    if size is None or not size.max_answer_tokens:
         return math.inf
-    return _prompt_seconds(size) + size.most_tokens * _SLOW_TOKEN_SECONDS
+    return _prompt_seconds(size) + size.max_answer_tokens * _SLOW_TOKEN_SECONDS
 
 
 def _prompt_seconds(size: GenerationSize | None) -> float:
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -10,17 +10,17 @@
 
 from primrosewood.backendset import Backend, BackendRecord, EngineState
 from primrosewood.balancing import (
-    BookedTokens,
-    Booking,
-    LeastPressed,
-    Placing,
+    LeastCostBalancer,
+    PlacementContext,
+    Reservation,
+    ReservedTokens,
 )
-from primrosewood.directcalls import Leg
+from primrosewood.directcalls import BackendAttempt
 from primrosewood.shares import ColdLimit, EntryCount
 
 MEMORY = 34_300
-LONG_ANSWER = BookedTokens(3079, 940)
-SHORT_ANSWER = BookedTokens(2500, 16)
+LONG_ANSWER = ReservedTokens(3079, 940)
+SHORT_ANSWER = ReservedTokens(2500, 16)
 
 
 def make_backend(name, domain='d1', **fields):
@@ -29,14 +29,14 @@
 
 
 def make_context(tokens=LONG_ANSWER):
-    return Placing('d1', 0.0, tokens, MEMORY, 1.8)
+    return PlacementContext('d1', 0.0, tokens, MEMORY, 1.8)
 
 
 class LeastPressedTest(unittest.TestCase):
     """Which back end gets a call."""
 
     def setUp(self):
-        self.balancer = LeastPressed(random.Random(1))
+        self.balancer = LeastCostBalancer(random.Random(1))
 
     def choose(self, backends, tokens=LONG_ANSWER):
         return self.balancer.choose(backends, make_context(tokens)).name
@@ -48,11 +48,11 @@
         an engine looked idle, and 22 of 80 short calls waited over 1.5 s.
         """
         near = make_backend('near')
-        near.take_state(
+        near.update_state(
             EngineState(queued=4, unread_tokens=12_000, total_tokens=MEMORY), 0
         )
         far = make_backend('far', 'd2')
-        far.take_state(EngineState(running=6, total_tokens=MEMORY), 0)
+        far.update_state(EngineState(running=6, total_tokens=MEMORY), 0)
         self.assertEqual('far', self.choose([near, far]))
 
     def test_own_failure_domain_when_both_are_idle(self):
@@ -63,9 +63,11 @@
     def test_full_memory_is_avoided(self):
         """An engine whose memory is nearly full would preempt a stream."""
         full = make_backend('full')
-        full.take_state(EngineState(used_tokens=32_000, total_tokens=MEMORY), 0)
+        full.update_state(
+            EngineState(used_tokens=32_000, total_tokens=MEMORY), 0
+        )
         busy = make_backend('busy', 'd2')
-        busy.take_state(
+        busy.update_state(
             EngineState(running=8, used_tokens=15_000, total_tokens=MEMORY), 0
         )
         self.assertEqual('busy', self.choose([full, busy]))
@@ -74,10 +76,10 @@
         """Calls that arrive between two reports must count at once."""
         backends = [make_backend(f'e{number}') for number in range(5)]
         for backend in backends:
-            backend.take_state(EngineState(total_tokens=MEMORY), 0)
+            backend.update_state(EngineState(total_tokens=MEMORY), 0)
         for _ in range(20):
             chosen = self.balancer.choose(backends, make_context())
-            Booking(Leg(chosen), LONG_ANSWER)
+            Reservation(BackendAttempt(chosen), LONG_ANSWER)
         self.assertEqual([4] * 5, [each.open_calls for each in backends])
 
     def test_short_deadline_behind_long_prompts(self):
@@ -87,11 +89,11 @@
         for other prompts costs more than sharing the decoding.
         """
         behind = make_backend('behind')
-        behind.take_state(
+        behind.update_state(
             EngineState(running=3, unread_tokens=9000, total_tokens=MEMORY), 0
         )
         beside = make_backend('beside')
-        beside.take_state(
+        beside.update_state(
             EngineState(
                 running=4,
                 generating=4,
@@ -114,7 +116,7 @@
         slow = make_backend('slow')
         for _ in range(10):
             chosen = self.balancer.choose([fast, slow], make_context())
-            Booking(Leg(chosen), LONG_ANSWER)
+            Reservation(BackendAttempt(chosen), LONG_ANSWER)
             for backend, pace in ((fast, 0.007), (slow, 0.0091)):
                 state = EngineState(
                     running=backend.open_calls,
@@ -123,7 +125,7 @@
                     total_tokens=MEMORY,
                     token_seconds=pace,
                 )
-                backend.take_state(state, 0)
+                backend.update_state(state, 0)
                 backend.unread_tokens = 0
         self.assertGreaterEqual(fast.open_calls, slow.open_calls)
         self.assertLessEqual(fast.open_calls, 7)
@@ -150,11 +152,11 @@
 
     def test_release_restores_all_counters(self):
         backend = make_backend('e1')
-        booking = Booking(Leg(backend), LONG_ANSWER)
+        reservation = Reservation(BackendAttempt(backend), LONG_ANSWER)
         self.assertEqual(3079, backend.unread_tokens)
-        booking.note_event(1.0)
+        reservation.record_event(1.0)
         self.assertEqual(0, backend.unread_tokens)
-        booking.release()
+        reservation.release()
         self.assertEqual((0, 0), (backend.open_calls, backend.open_tokens))
 
 
@@ -176,12 +178,12 @@
             its fault had ended.
         """
         random_source = random.Random(seed)
-        balancer = LeastPressed(random_source)
+        balancer = LeastCostBalancer(random_source)
         backends = [make_backend(name) for name in ('a', 'b', 'failing')]
         lost, calls_after_fault = 0, 0
         for tick in range(200):
             now = tick / 5
-            chosen = balancer.choose(backends, Placing('d1', now))
+            chosen = balancer.choose(backends, PlacementContext('d1', now))
             faulty = 5 <= now < 17 and random_source.random() < 0.45
             if chosen.name == 'failing' and faulty:
                 chosen.record_failure(now)
--- a/tests/test_calllimits.py
+++ b/tests/test_calllimits.py
@@ -40,7 +40,7 @@
             now += self._random.expovariate(demand)
             self._deliver_reports(now)
             limit = self._random.choice(self._limits)
-            if not limit.find_wait(now):
+            if not limit.seconds_until_call(now):
                 self._count(limit, now)
                 self.sent.append(now)
                 report = (now + self._report_seconds, len(self.sent), limit)
@@ -104,9 +104,9 @@
         """Guards against never finding out that a limit of 0 is lifted."""
         limit = CallLimit()
         limit.take(0.0, 0, 0)
-        self.assertEqual(10, limit.find_wait(0))
+        self.assertEqual(10, limit.seconds_until_call(0))
         limit.count(1, 10)
-        self.assertEqual(10, limit.find_wait(10))
+        self.assertEqual(10, limit.seconds_until_call(10))
 
     def test_outdated_report_is_ignored(self):
         limit = CallLimit()
@@ -114,7 +114,7 @@
         self.assertFalse(limit.take(None, 4, 6))
         self.assertEqual(2, limit.rate)
         self.assertTrue(limit.take(None, 6, 6))
-        self.assertEqual(0, limit.find_wait(6))
+        self.assertEqual(0, limit.seconds_until_call(6))
 
 
 class CallLimitsTest(unittest.IsolatedAsyncioTestCase):
@@ -137,10 +137,12 @@
         return self.connected
 
     def wait(self):
-        return self.backend.call_limit.find_wait(self.clock.monotonic())
+        return self.backend.call_limit.seconds_until_call(
+            self.clock.monotonic()
+        )
 
     def announce_limit(self, rate):
-        self.limits.note_answer(self.backend, rate, self.clock.monotonic())
+        self.limits.record_answer(self.backend, rate, self.clock.monotonic())
 
     def receive_report(self, rate, age_ms, calls=0):
         self.limits.take_told(wire.LimitTold('i-1', rate, age_ms, calls))
@@ -148,7 +150,7 @@
     async def test_calls_are_reported_to_other_entries(self):
         self.announce_limit(2.0)
         for _ in range(3):
-            self.limits.note_call(self.backend)
+            self.limits.record_call(self.backend)
         await asyncio.sleep(0.05)
         (report,) = self.reports
         self.assertEqual(
@@ -168,7 +170,7 @@
         """Guards against disconnected entries that each use the whole rate."""
         self.connected = False
         self.announce_limit(2.0)
-        self.limits.note_call(self.backend)
+        self.limits.record_call(self.backend)
         await asyncio.sleep(0.05)
         self.assertAlmostEqual(3, self.wait(), delta=0.6)
 
@@ -176,7 +178,7 @@
         """Guards against outdated answers and reports that lift a limit."""
         before = self.clock.monotonic()
         self.announce_limit(2.0)
-        self.limits.note_answer(self.backend, None, before)
+        self.limits.record_answer(self.backend, None, before)
         self.receive_report(None, age_ms=500)
         self.assertEqual(2, self.backend.call_limit.rate)
 
@@ -185,7 +187,7 @@
         await asyncio.sleep(0.05)
         self.receive_report(None, age_ms=0)
         self.assertEqual(0, self.wait())
-        self.limits.note_call(self.backend)
+        self.limits.record_call(self.backend)
         await asyncio.sleep(0.05)
         self.assertEqual(1, len(self.reports))
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -8,10 +8,10 @@
 from unittest import mock
 
 from primrosewood.backendset import BackendRecord, BackendSet
-from primrosewood.balancing import LeastPressed
+from primrosewood.balancing import LeastCostBalancer
 from primrosewood.callplacement import (
     CallPlacement,
-    PlacementTools,
+    PlacementDependencies,
     RelayRules,
 )
 from primrosewood.clock import SystemClock
@@ -25,7 +25,7 @@
 )
 from primrosewood.metrics import Metrics
 from primrosewood.moves import MoveNotice, NoticeBoard
-from primrosewood.relay import Relay, RelayTools
+from primrosewood.relay import Relay, RelayDependencies
 from primrosewood.routes import (
     EngineTraits,
     Route,
@@ -62,11 +62,11 @@
 
     def __init__(self):
         self.script = deque()
-        self.legs = []
+        self.backend_attempts = []
 
     @asynccontextmanager
-    async def send(self, call, leg):
-        self.legs.append(leg)
+    async def send(self, call, backend_attempt):
+        self.backend_attempts.append(backend_attempt)
         outcome = self.script.popleft()
         if isinstance(outcome, Exception):
             raise outcome
@@ -111,19 +111,19 @@
         self.transport = ScriptedTransport()
         self.sink = Sink()
         placement = CallPlacement(
-            PlacementTools(
+            PlacementDependencies(
                 rules=RelayRules('d1'),
                 tables=tables,
                 backends=self.backends,
                 entries=entries,
-                balancer=LeastPressed(random.Random(1)),
+                balancer=LeastCostBalancer(random.Random(1)),
                 random=random.Random(1),
                 clock=self.clock,
                 metrics=Metrics(),
             )
         )
         self.relay = Relay(
-            RelayTools(
+            RelayDependencies(
                 placement, self.notices, self.transport, self.clock, Metrics()
             )
         )
@@ -175,7 +175,10 @@
             REFUSED,
             ScriptedReply(b'a'),
         )
-        names = {leg.backend.name for leg in self.transport.legs}
+        names = {
+            backend_attempt.backend.name
+            for backend_attempt in self.transport.backend_attempts
+        }
         self.assertEqual({'e1', 'e2', 'e3'}, names)
 
     async def test_non_idempotent_call_with_unknown_outcome_is_not_retried(
@@ -189,7 +192,7 @@
         call = self.make_call(RouteKind.non_idempotent, max_endpoints=3)
         kind = await self.fail(call, CUT, ScriptedReply(b'a'))
         self.assertEqual(ErrorKind.outcome_unknown, kind)
-        self.assertEqual(1, len(self.transport.legs))
+        self.assertEqual(1, len(self.transport.backend_attempts))
 
     async def test_back_end_that_hangs_is_set_aside(self):
         """A back end accepts calls and never answers some of them.
@@ -201,14 +204,17 @@
         kind = await self.fail(call, HANG)
         self.assertEqual(ErrorKind.deadline_exceeded, kind)
         now = self.clock.monotonic()
-        hanging = self.transport.legs[0].backend
+        hanging = self.transport.backend_attempts[0].backend
         self.assertGreater(hanging.suspect_until, now)
         for _ in range(10):
             self.sink = Sink()
             await self.answer(
                 self.make_call(RouteKind.non_idempotent), ScriptedReply(b'a')
             )
-        names = [leg.backend.name for leg in self.transport.legs[1:]]
+        names = [
+            backend_attempt.backend.name
+            for backend_attempt in self.transport.backend_attempts[1:]
+        ]
         self.assertNotIn(hanging.name, names)
 
     async def test_early_cancellation_does_not_count_as_failure(self):
@@ -218,7 +224,9 @@
         await asyncio.sleep(0.1)
         calling.cancel()
         await asyncio.wait([calling])
-        self.assertEqual(0, self.transport.legs[0].backend.failure_rate)
+        self.assertEqual(
+            0, self.transport.backend_attempts[0].backend.failure_rate
+        )
 
     async def test_address_where_another_back_end_answers(self):
         """Another engine answers at the address of an old record.
@@ -229,13 +237,16 @@
         for _ in range(3):
             self.sink = Sink()
             elsewhere = MisdirectedError(ErrorKind.overloaded)
-            script = [] if self.transport.legs else [elsewhere]
+            script = [] if self.transport.backend_attempts else [elsewhere]
             await self.answer(
                 self.make_call(RouteKind.non_idempotent),
                 *script,
                 ScriptedReply(b'a'),
             )
-        names = [leg.backend.name for leg in self.transport.legs]
+        names = [
+            backend_attempt.backend.name
+            for backend_attempt in self.transport.backend_attempts
+        ]
         self.assertNotIn(names[0], names[1:])
         self.assertEqual(2, len(self.backends.usable('s')))
 
@@ -254,7 +265,7 @@
         call = self.make_call(RouteKind.idempotent, max_endpoints=2)
         kind = await self.fail(call, CUT, CUT, ScriptedReply(b'a'))
         self.assertEqual(ErrorKind.outcome_unknown, kind)
-        self.assertEqual(2, len(self.transport.legs))
+        self.assertEqual(2, len(self.transport.backend_attempts))
 
     async def test_partial_answer_is_replaced_by_a_complete_one(self):
         call = self.make_call(RouteKind.idempotent, max_endpoints=2)
@@ -284,7 +295,7 @@
             self.backends.find(name).leaving = True
         kind = await self.fail(self.make_call(RouteKind.idempotent))
         self.assertEqual(ErrorKind.no_endpoint, kind)
-        self.assertEqual([], self.transport.legs)
+        self.assertEqual([], self.transport.backend_attempts)
 
     async def test_all_have_got_what_they_take(self):
         """All back ends are at their rate limits.
@@ -302,7 +313,7 @@
             await self.answer(call)
         self.assertEqual(ErrorKind.overloaded, caught.exception.kind)
         self.assertAlmostEqual(2.25, caught.exception.retry_seconds, delta=0.3)
-        self.assertEqual([], self.transport.legs)
+        self.assertEqual([], self.transport.backend_attempts)
 
 
 class StreamTest(_RelayTestCase):
@@ -333,8 +344,8 @@
         original_send = self.transport.send
 
         @asynccontextmanager
-        async def send(call, leg):
-            async with original_send(call, leg) as reply:
+        async def send(call, backend_attempt):
+            async with original_send(call, backend_attempt) as reply:
                 self.notices.post(MoveNotice('ab12', 'e1:80', 'h', 'e2:80'))
                 yield reply
 
@@ -342,8 +353,8 @@
         await self.relay.answer(call, self.sink)
         events = b''.join(map(make_event, (1, 2, 3)))
         self.assertEqual(events, self.sink.body)
-        resumption = self.transport.legs[1].resumption
-        self.assertEqual('e2', self.transport.legs[1].backend.name)
+        resumption = self.transport.backend_attempts[1].resumption
+        self.assertEqual('e2', self.transport.backend_attempts[1].backend.name)
         self.assertEqual(2, resumption.last_event)
         self.assertEqual('h', resumption.handle)
 
@@ -357,7 +368,7 @@
             call, ScriptedReply(make_event(1), CUT), ScriptedReply()
         )
         self.assertEqual(ErrorKind.generation_lost, kind)
-        self.assertEqual(1, len(self.transport.legs))
+        self.assertEqual(1, len(self.transport.backend_attempts))
 
     async def test_missing_events_fail_the_stream(self):
         call = self.make_call(RouteKind.streaming)
@@ -371,8 +382,8 @@
         call = self.make_call(RouteKind.streaming)
 
         @asynccontextmanager
-        async def send(_call, leg):
-            if leg.resumption is not None:
+        async def send(_call, backend_attempt):
+            if backend_attempt.resumption is not None:
                 raise REFUSED
             self.notices.post(MoveNotice('ab12', 'e1:80', 'h', 'e2:80'))
             yield ScriptedReply(make_event(1), CUT)
@@ -422,7 +433,7 @@
         )
         await self.answer(call, CUT, ScriptedReply(make_event(1)))
         self.assertEqual(make_event(1), self.sink.body)
-        first, second = self.transport.legs
+        first, second = self.transport.backend_attempts
         self.assertNotEqual(first.backend.name, second.backend.name)
         self.assertIsNone(second.after_event)
 
@@ -442,7 +453,7 @@
         )
         events = b''.join(map(make_event, (1, 2, 3)))
         self.assertEqual(events, self.sink.body)
-        self.assertEqual(2, self.transport.legs[1].after_event)
+        self.assertEqual(2, self.transport.backend_attempts[1].after_event)
 
     async def test_regenerated_at_no_more_endpoints_than_allowed(self):
         call = self.make_call(
@@ -450,7 +461,7 @@
         )
         kind = await self.fail(call, CUT, CUT, ScriptedReply(make_event(1)))
         self.assertEqual(ErrorKind.outcome_unknown, kind)
-        self.assertEqual(2, len(self.transport.legs))
+        self.assertEqual(2, len(self.transport.backend_attempts))
 
     async def test_log_shows_what_made_a_stream_late(self):
         """The log distinguishes a late first event from a long pause."""
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -62,14 +62,14 @@
         earlier is forwarded as it arrives, however little time is left.
         """
         label = make_call(size=GenerationSize(2200, 40))
-        self.assertFalse(self.window.must_hold(label, 99))
+        self.assertFalse(self.window.must_buffer(label, 99))
         self.window.begin(100)
-        self.assertFalse(self.window.must_hold(label, 99))
-        self.assertFalse(self.window.must_hold(label, 102.5))
+        self.assertFalse(self.window.must_buffer(label, 99))
+        self.assertFalse(self.window.must_buffer(label, 102.5))
         for judged in (102.6, 105.8, 107.4):
-            self.assertTrue(self.window.must_hold(label, judged))
+            self.assertTrue(self.window.must_buffer(label, judged))
         plain = make_call(size=None, route=PLAIN_ROUTE)
-        self.assertFalse(self.window.must_hold(plain, 107))
+        self.assertFalse(self.window.must_buffer(plain, 107))
 
     def test_plain_call_with_enough_time(self):
         self.window.begin(100)
@@ -147,9 +147,9 @@
         until this entry has restarted.
         """
         self.window.begin(100)
-        self.assertEqual(0.05, self.window.return_seconds(101))
-        self.assertAlmostEqual(4.2, self.window.return_seconds(105.8))
-        self.assertAlmostEqual(2, self.window.return_seconds(108.1))
+        self.assertEqual(0.05, self.window.seconds_until_retry(101))
+        self.assertAlmostEqual(4.2, self.window.seconds_until_retry(105.8))
+        self.assertAlmostEqual(2, self.window.seconds_until_retry(108.1))
 
     def test_each_decision_is_logged(self):
         """The log explains why a stream was admitted that was cut later.
