--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Shares of limits that hold for the sum over all entries."""
+"""Shares of limits that apply to the sum over all entries."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class RepeatBudgetTest(unittest.TestCase):
-    """Repeats of all entries together."""
+    """Retries of all entries together."""
 
     @settings(derandomize=True, max_examples=50)
     @given(
@@ -27,7 +27,7 @@
         ),
     )
     def test_sum_over_entries_stays_in_bounds(self, entries, steps):
-        """A storm of repeats at every entry, none hearing of another."""
+        """Entries that do not communicate keep the sum of their retries."""
         count = EntryCount(entries)
         budgets = [RepeatBudget(RULE, count) for _ in range(entries)]
         now = 0.0
@@ -35,15 +35,17 @@
         for seconds, entry, repeat in steps:
             now += seconds
             budget = budgets[entry % entries]
-            budget.note_request(now)
+            budget.record_request(now)
             requests.append(now)
             if repeat and budget.spend(now):
                 repeats.append(now)
-            in_window = [at for at in requests if at >= now - 10]
-            repeated = [at for at in repeats if at >= now - 10]
-            self.assertLessEqual(len(repeated), len(in_window) * 0.2 + 50)
+            requests_in_window = [at for at in requests if at >= now - 10]
+            repeats_in_window = [at for at in repeats if at >= now - 10]
+            self.assertLessEqual(
+                len(repeats_in_window), len(requests_in_window) * 0.2 + 50
+            )
 
-    def test_share_comes_back_with_time(self):
+    def test_share_is_restored_after_the_window(self):
         budget = RepeatBudget(RULE, EntryCount(1))
         while budget.spend(0.0):
             continue
@@ -57,9 +59,9 @@
     def test_share_of_a_second(self):
         limit = ColdLimit(EntryCount(4))
         sent = 0
-        while limit.has_room(40, 0.0):
-            limit.note(0.0)
+        while limit.has_capacity(40, 0.0):
+            limit.record_call(0.0)
             sent += 1
         self.assertEqual(8, sent)
-        self.assertFalse(limit.has_room(40, 1.0))
-        self.assertTrue(limit.has_room(40, 1.3))
+        self.assertFalse(limit.has_capacity(40, 1.0))
+        self.assertTrue(limit.has_capacity(40, 1.3))
