--- a/bench/table_change.py
+++ b/bench/table_change.py
@@ -24,11 +24,11 @@
         began = time.process_time()
         patch = make_patch(older, newer)
         made = time.process_time() - began
-        apply_patch(older, patch.fresh, patch.copies)
+        apply_patch(older, patch.inserted, patch.copies)
         applied = time.process_time() - began - made
         rows = [list(row) for row in patch.copies]
         whole = _size(wire.StoredPair('t', 2, False, newer))
-        part = _size(_patched(patch.fresh, rows))
+        part = _size(_patched(patch.inserted, rows))
         yield Line(
             'table_change',
             {
--- a/primrosewood/enginekeeper.py
+++ b/primrosewood/enginekeeper.py
@@ -19,7 +19,7 @@
 from .link import Link
 from .logs import log_decision, log_event
 from .metrics import Metrics
-from .movableengine import EnginePlace, EngineReading, MovableEngine
+from .movableengine import EngineLocation, EngineReading, MovableEngine
 from .peerlink import PeerServer
 
 __all__ = ('EngineKeeper',)
@@ -53,7 +53,7 @@
     def __init__(
         self,
         engine: MovableEngine,
-        location: EnginePlace,
+        location: EngineLocation,
         clock: Clock,
         metrics: Metrics,
         random: RandomSource,
@@ -72,7 +72,7 @@
             ask_entries=self._send_to_some,
         )
         self._reports = EngineReports()
-        self._token_pace = TokenTimeEstimator()
+        self._token_time = TokenTimeEstimator()
         self._batch_timer: asyncio.TimerHandle | None = None
         self._reading: EngineReading | None = None
         self._engine_reachable = asyncio.Event()
@@ -130,7 +130,7 @@
             case wire.LimitTold():
                 self._broadcast(message, link)
 
-    async def run_naming(self) -> None:
+    async def run_identification(self) -> None:
         """Keep the engine identified, for announcements, until cancelled.
 
         Runs apart from `run`: a full engine answers late or not at all, and
@@ -145,7 +145,7 @@
                 self._engine_reachable.clear()
                 self._identified.set()
 
-    async def wait_named(self, seconds: float) -> None:
+    async def wait_identified(self, seconds: float) -> None:
         """Wait until the engine is identified, at most some seconds."""
         try:
             async with asyncio.timeout(seconds):
@@ -192,7 +192,7 @@
         self.found = None
         self._engine_reachable.clear()
         self._identified.clear()
-        self._token_pace = TokenTimeEstimator()
+        self._token_time = TokenTimeEstimator()
         self._reports.take(_UNREACHABLE_STATE, self._clock.monotonic())
         # Without a report entries would assume that this process is lost.
         self._send_report_if_due()
@@ -224,8 +224,8 @@
         was_leaving = self._reading and self._reading.state.leaving
         self._reading = reading
         leaving = reading.state.leaving
-        self._token_pace.observe(reading.runs, started_at)
-        state = replace(reading.state, token_seconds=self._token_pace.seconds)
+        self._token_time.observe(reading.runs, started_at)
+        state = replace(reading.state, token_seconds=self._token_time.seconds)
         self._reports.take(state, started_at)
         self._send_report_if_due(force=leaving and not was_leaving)
         if leaving and not was_leaving:
@@ -240,5 +240,5 @@
         now = self._clock.monotonic()
         report = self._reports.make(self.server.peers)
         if force or self._reports.is_due(report, now):
-            self._reports.note_told(report, now)
+            self._reports.record_sent(report, now)
             self._broadcast(report)
--- a/primrosewood/enginereports.py
+++ b/primrosewood/enginereports.py
@@ -13,7 +13,7 @@
 from . import gen_wire as wire
 from .backendset import EngineState
 
-__all__ = ('EngineReports', 'read_report')
+__all__ = ('EngineReports', 'state_from_report')
 
 # Interval of reports without changes, which show that this process is alive.
 _HEARTBEAT_SECONDS = 0.5
@@ -109,7 +109,7 @@
         min_credit = -_BURST_REPORTS if self._is_more_loaded(report) else 1
         return self._credit >= min_credit
 
-    def note_told(self, report: wire.EngineReport, now: float) -> None:
+    def record_sent(self, report: wire.EngineReport, now: float) -> None:
         """Record that a report is sent."""
         self._refill_credit(report.entries, now)
         self._credit = max(-_BURST_REPORTS, self._credit - 1)
@@ -129,7 +129,7 @@
         self._refilled_at = now
 
 
-def read_report(report: wire.EngineReport) -> EngineState:
+def state_from_report(report: wire.EngineReport) -> EngineState:
     """Convert a report to the engine's state."""
     return EngineState(
         running=report.running,
--- a/primrosewood/engineview.py
+++ b/primrosewood/engineview.py
@@ -7,10 +7,10 @@
 from .backendset import Backend, BackendRecord, BackendSet
 from .clock import Clock
 from .codec import Message
-from .enginereports import read_report
+from .enginereports import state_from_report
 from .link import Link
 from .logs import log_event
-from .moves import MoveNotice, NoticeBoard
+from .moves import MoveNotice, MoveNotices
 from .peerlink import LinkIdentity, PeerLink
 from .routes import TableHolder
 from .shares import EntryCount
@@ -44,7 +44,7 @@
         self,
         backends: BackendSet,
         tables: TableHolder,
-        notices: NoticeBoard,
+        notices: MoveNotices,
         entries: EntryCount,
         identity: LinkIdentity,
         clock: Clock,
@@ -171,7 +171,7 @@
         if link is not None:
             link.send(wire.CallPlaced(name, unread_tokens, whole_tokens))
 
-    def take_announcement(self, message: Message, _link: Link) -> None:
+    def handle_announcement(self, message: Message, _link: Link) -> None:
         """Handle the announcement of an engine by its endpoint process.
 
         A new engine is announced to all linked endpoint processes, which
@@ -228,7 +228,7 @@
         if backend.state is None:
             log_event('reports_heard', endpoint=backend.name)
         was_stopping = backend.stopping
-        backend.update_state(read_report(report), self._clock.monotonic())
+        backend.update_state(state_from_report(report), self._clock.monotonic())
         if backend.stopping != was_stopping:
             log_event(
                 'endpoint_reported',
--- a/primrosewood/entry.py
+++ b/primrosewood/entry.py
@@ -31,7 +31,7 @@
 from .progress import EntryContext
 from .routing import make_policy
 from .settings import SETTINGS_PREFIX, SettingsStore
-from .unsent import has_unsent
+from .unsent import has_unsent_data
 from .vmlist import HttpVmList
 from .watcher import Watcher, WatchPace
 
@@ -283,7 +283,7 @@
     def _has_work(self, runners: tuple[web.AppRunner, ...]) -> bool:
         if self._callers.active or self._administration.active:
             return True
-        return any(has_unsent(runner) for runner in runners)
+        return any(has_unsent_data(runner) for runner in runners)
 
 
 def run(settings: str, check: bool = False) -> None:
--- a/primrosewood/moves.py
+++ b/primrosewood/moves.py
@@ -15,7 +15,7 @@
     'EngineRun',
     'MoveNotice',
     'MoveTarget',
-    'NoticeBoard',
+    'MoveNotices',
     'choose_move_target',
     'plan_moves',
 )
@@ -148,7 +148,7 @@
     return candidates[int(draw * len(candidates))]
 
 
-class NoticeBoard:
+class MoveNotices:
     """An entry's notices of moves, matched to interrupted streams.
 
     A notice and the interruption that it explains arrive over different
--- a/primrosewood/platform/entry.py
+++ b/primrosewood/platform/entry.py
@@ -26,7 +26,7 @@
 from ..link import Link
 from ..logs import log_event
 from ..metrics import Metrics
-from ..moves import NoticeBoard
+from ..moves import MoveNotices
 from ..peerlink import LinkIdentity, PeerServer
 from ..process import spawn
 from ..relay import Relay, RelayDependencies
@@ -35,7 +35,7 @@
 from ..shares import EntryCount, RepeatRule
 from ..stopping import StopWindow
 from ..storeview import StoreView
-from ..unsent import has_unsent
+from ..unsent import has_unsent_data
 from .beliefs import Beliefs
 from .engines import HttpTransport
 from .front import Front, answer_ready
@@ -70,7 +70,7 @@
         self._tables = TableHolder()
         self._entries = EntryCount(_ASSUMED_ENTRIES)
         self._backends = BackendSet(self._entries)
-        self._notices = NoticeBoard()
+        self._notices = MoveNotices()
         self._store = PlatformStore(settings.store, _STORE_SECONDS)
         self._engines = EngineView(
             backends=self._backends,
@@ -101,14 +101,14 @@
             clock=self._clock,
             random=make_random(),
             send=self._engines.send_to_one,
-            note_answered=self._beliefs.record_store_result,
+            report_available=self._beliefs.record_store_result,
         )
         self._stop = StopWindow(
             settings.limits.stop_seconds - _CLOSE_SECONDS, _NOTICED_SECONDS
         )
         self._front = self._make_front()
         self._peers = PeerServer(
-            settings.link_key, self._engines.take_announcement
+            settings.link_key, self._engines.handle_announcement
         )
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -229,7 +229,7 @@
 
     async def _wait_answered(self, callers: web.ServerRunner) -> None:
         release_connections(callers)
-        while self._front.active or has_unsent(callers):
+        while self._front.active or has_unsent_data(callers):
             await asyncio.sleep(_TICK_SECONDS)
             release_connections(callers)
 
--- a/primrosewood/sharedreader.py
+++ b/primrosewood/sharedreader.py
@@ -53,7 +53,7 @@
     send
         Sends a message to an endpoint process, which forwards it to the other
         entries; uses another endpoint process each time.
-    note_answered
+    report_available
         Called with whether the service answers this entry or others.
     """
 
@@ -64,7 +64,7 @@
         clock: Clock,
         random: RandomSource,
         send: Callable[[Message], None],
-        note_answered: Callable[[bool], None],
+        report_available: Callable[[bool], None],
     ) -> None:
         """Create a reader whose first read is due at once."""
         self._name = name
@@ -72,7 +72,7 @@
         self._clock = clock
         self._random = random
         self._send = send
-        self._note_answered = note_answered
+        self._report_available = report_available
         self._next_read_at = clock.monotonic()
         self._synced_at = float('-inf')
         self._read_timeout: asyncio.Timeout | None = None
@@ -116,13 +116,13 @@
         self._schedule_read(now)
         if now - self._synced_at > _STALE_SECONDS:
             log_event('reading_failed', 'WARNING', why=error)
-            self._note_answered(False)
+            self._report_available(False)
         self._send(wire.PairsAsk(self._name, self._view.newest))
 
     def _mark_synced(self, synced_at: float) -> None:
         self._synced_at = synced_at
         self._schedule_read(synced_at)
-        self._note_answered(True)
+        self._report_available(True)
 
     def _schedule_read(self, since: float) -> None:
         jitter_factor = 1 + _READ_JITTER_SHARE * self._random.random()
--- a/primrosewood/unsent.py
+++ b/primrosewood/unsent.py
@@ -2,10 +2,10 @@
 
 from aiohttp import web
 
-__all__ = ('has_unsent',)
+__all__ = ('has_unsent_data',)
 
 
-def has_unsent(runner: web.BaseRunner) -> bool:
+def has_unsent_data(runner: web.BaseRunner) -> bool:
     """Return whether any connection has response data that is not sent yet.
 
     If a client reads slowly, the event loop buffers the response in this
--- a/tests/test_enginekeeper.py
+++ b/tests/test_enginekeeper.py
@@ -11,7 +11,7 @@
 from primrosewood.enginekeeper import EngineKeeper
 from primrosewood.errors import BackendCutError, ErrorKind, NotRunError
 from primrosewood.metrics import Metrics
-from primrosewood.movableengine import EnginePlace, EngineReading
+from primrosewood.movableengine import EngineLocation, EngineReading
 from primrosewood.moves import EngineRun
 
 CAPACITY_REPLY = wire.RoomTold([wire.EngineRoom('b:1', 'd1', 20_000)])
@@ -94,14 +94,14 @@
         self.server = FakeServer()
         self.keeper = EngineKeeper(
             self.engine,
-            EnginePlace('s', 'd1'),
+            EngineLocation('s', 'd1'),
             SystemClock(),
             Metrics(),
             Random(1),
         )
         self.keeper.server = self.server
         self.server.keeper = self.keeper
-        for work in (self.keeper.run(), self.keeper.run_naming()):
+        for work in (self.keeper.run(), self.keeper.run_identification()):
             self.addCleanup(asyncio.create_task(work).cancel)
 
     async def wait_for(self, condition):
@@ -212,7 +212,7 @@
     async def test_generation_about_to_complete_is_moved_last(self):
         self.server.answers = [CAPACITY_REPLY]
         self.keeper.handle(wire.CallPlaced('small', 0, 2010), None)
-        self.keeper._token_pace.seconds = 0.01
+        self.keeper._token_time.seconds = 0.01
         self.engine.leaving = True
         await self.wait_for(lambda: len(self.server.moves()) == 2)
         self.assertEqual(
@@ -322,7 +322,7 @@
         ):
             await self.lose_engine()
             await asyncio.sleep(0.1)
-            waiting = asyncio.create_task(self.keeper.wait_named(5))
+            waiting = asyncio.create_task(self.keeper.wait_identified(5))
             self.engine.gone = False
             async with asyncio.timeout(1):
                 await waiting
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -11,8 +11,8 @@
 from primrosewood.moves import (
     EngineRun,
     MoveNotice,
+    MoveNotices,
     MoveTarget,
-    NoticeBoard,
     choose_move_target,
     plan_moves,
 )
@@ -82,25 +82,25 @@
         self.assertIsNone(choose_move_target(RUN, [tight], 'd1'))
 
 
-class NoticeBoardTest(unittest.IsolatedAsyncioTestCase):
+class MoveNoticesTest(unittest.IsolatedAsyncioTestCase):
     """Notices and interruptions arrive in either order."""
 
     def setUp(self):
-        self.board = NoticeBoard()
+        self.notices = MoveNotices()
         self.notice = MoveNotice('r', 'a:1', 'h', 'b:1')
 
     async def test_notice_before_interruption(self):
-        self.board.post(self.notice)
-        self.assertEqual(self.notice, await self.board.wait('r', 0))
+        self.notices.post(self.notice)
+        self.assertEqual(self.notice, await self.notices.wait('r', 0))
 
     async def test_interruption_before_notice(self):
-        waiting = asyncio.create_task(self.board.wait('r', 5))
+        waiting = asyncio.create_task(self.notices.wait('r', 5))
         await asyncio.sleep(0)
-        self.board.post(self.notice)
+        self.notices.post(self.notice)
         self.assertEqual(self.notice, await waiting)
 
     async def test_no_notice(self):
-        self.assertIsNone(await self.board.wait('r', 0.01))
+        self.assertIsNone(await self.notices.wait('r', 0.01))
 
     async def test_outdated_notice_is_dropped(self):
         """A stream is moved, its notice arrives late, and the target dies.
@@ -108,12 +108,12 @@
         The outdated notice would resume the stream from a copy that was
         already consumed.
         """
-        self.board.post(self.notice)
-        self.board.forget('r')
-        self.assertIsNone(await self.board.wait('r', 0.01))
+        self.notices.post(self.notice)
+        self.notices.forget('r')
+        self.assertIsNone(await self.notices.wait('r', 0.01))
 
     async def test_notices_of_other_entries_are_bounded(self):
         for number in range(2000):
-            self.board.post(MoveNotice(str(number), 'a:1', 'h', 'b:1'))
-        self.assertIsNone(await self.board.wait('0', 0))
-        self.assertIsNotNone(await self.board.wait('1999', 0))
+            self.notices.post(MoveNotice(str(number), 'a:1', 'h', 'b:1'))
+        self.assertIsNone(await self.notices.wait('0', 0))
+        self.assertIsNotNone(await self.notices.wait('1999', 0))
--- a/tests/test_platform_stopping.py
+++ b/tests/test_platform_stopping.py
@@ -300,7 +300,9 @@
         Its handler has returned, so that nothing counted as in progress; the
         entry ended, and the rest of the answer with it.
         """
-        with mock.patch.object(entry, 'has_unsent', return_value=True) as asked:
+        with mock.patch.object(
+            entry, 'has_unsent_data', return_value=True
+        ) as asked:
             self.stop.set()
             await asyncio.sleep(3.2)
             self.assertFalse(self.entry.done())
--- a/tests/test_sharedreader.py
+++ b/tests/test_sharedreader.py
@@ -114,7 +114,7 @@
             clock=SystemClock(),
             random=Random(len(self.held)),
             send=self.bus.connect(name),
-            note_answered=reported.append,
+            report_available=reported.append,
         )
         task = asyncio.create_task(self.bus.readers[name].run())
         self.addCleanup(task.cancel)
