--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines that are written without waiting for their reader."""
+"""Log lines are written without blocking on their reader."""
 
 import os
 import time
@@ -8,61 +8,61 @@
 
 
 class LineWriterTest(unittest.TestCase):
-    """A pipe whose reader may stand still."""
+    """Lines written to a pipe whose reader may stall or close it."""
 
     def setUp(self):
-        self.reader, self.writer = os.pipe()
-        self.addCleanup(os.close, self.reader)
-        self.addCleanup(os.close, self.writer)
+        self.read_end, self.write_end = os.pipe()
+        self.addCleanup(os.close, self.read_end)
+        self.addCleanup(os.close, self.write_end)
 
-    def read(self):
-        os.set_blocking(self.reader, False)
-        parts = []
+    def read_pipe(self):
+        os.set_blocking(self.read_end, False)
+        chunks = []
         while True:
             try:
-                parts.append(os.read(self.reader, 1 << 20))
+                chunks.append(os.read(self.read_end, 1 << 20))
             except BlockingIOError:
-                return b''.join(parts).decode()
+                return b''.join(chunks).decode()
 
     def test_lines_arrive(self):
-        lines = LineWriter(self.writer)
-        lines.write('a=1', 0)
-        lines.write('b=2', 0)
-        self.assertEqual('a=1\nb=2\n', self.read())
+        writer = LineWriter(self.write_end)
+        writer.write('a=1', 0)
+        writer.write('b=2', 0)
+        self.assertEqual('a=1\nb=2\n', self.read_pipe())
 
-    def test_reader_that_does_not_read(self):
-        """Whatever collects the logs stands still, and the pipe fills.
+    def test_stalled_reader_does_not_block_the_writer(self):
+        """The log collector stalls and the pipe fills up.
 
-        A process that waited for it would stop answering its callers.
+        A process that blocked on it would stop answering its callers.
         """
-        lines = LineWriter(self.writer, most_a_second=100_000)
+        writer = LineWriter(self.write_end, max_lines_per_second=100_000)
         started = time.monotonic()
         for number in range(20_000):
-            lines.write(f'number={number} text={"x" * 40}', 0)
+            writer.write(f'number={number} text={"x" * 40}', 0)
         self.assertLess(time.monotonic() - started, 5)
-        first = self.read()
+        text = self.read_pipe()
         while True:
-            lines.write('again=1', 0)
-            more = self.read()
-            first += more
-            if 'event=lines_dropped' in first:
+            writer.write('again=1', 0)
+            more = self.read_pipe()
+            text += more
+            if 'event=lines_dropped' in text:
                 break
-        whole = first.rpartition('\n')[0].split('\n')
-        self.assertTrue(all('=' in line for line in whole))
+        complete_lines = text.rpartition('\n')[0].split('\n')
+        self.assertTrue(all('=' in line for line in complete_lines))
 
-    def test_volume_is_bounded(self):
-        """A fault that logs in a loop must not cost what callers need."""
-        lines = LineWriter(self.writer, most_a_second=10)
+    def test_rate_is_limited(self):
+        """A fault that logs in a loop must not slow down requests."""
+        writer = LineWriter(self.write_end, max_lines_per_second=10)
         for _ in range(1000):
-            lines.write('a=1', 5)
-        lines.write('b=2', 6)
-        text = self.read()
+            writer.write('a=1', 5)
+        writer.write('b=2', 6)
+        text = self.read_pipe()
         self.assertEqual(10, text.count('a=1'))
         self.assertIn('event=lines_dropped count=990', text)
         self.assertTrue(text.endswith('b=2\n'))
 
-    def test_reader_that_is_gone(self):
-        reader, writer = os.pipe()
-        os.close(reader)
-        LineWriter(writer).write('a=1', 0)
-        os.close(writer)
+    def test_closed_reader_raises_no_error(self):
+        read_end, write_end = os.pipe()
+        os.close(read_end)
+        LineWriter(write_end).write('a=1', 0)
+        os.close(write_end)
