--- a/primrosewood/ctl.py
+++ b/primrosewood/ctl.py
@@ -1,4 +1,4 @@
-"""Operators' command line: the administration API, and logs of a run."""
+"""Command line for operators: administration API and analysis of log files."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 from .documents import find_differences
 from .errors import SettingsInvalidError
 from .loglines import LogLine, count_outcomes, parse_lines
-from .logstory import tell_story
+from .logstory import trace_request
 from .losses import find_losses
 
 __all__ = ('Ctl', 'main')
@@ -25,17 +25,18 @@
 _URL_VARIABLE = 'PRIMROSEWOOD_URL'
 _KEY_VARIABLE = 'PRIMROSEWOOD_KEY'
 _TIMEOUT_SECONDS = 30
-_REFUSED = 1
-_INVALID = 2
-_IN_EVERY_LINE = frozenset(('ts', 'level', 'process', 'request'))
+_EXIT_FAILURE = 1
+_EXIT_INVALID_SETTINGS = 2
+_COMMON_KEYS = frozenset(('ts', 'level', 'process', 'request'))
 
 
 class Ctl:
-    """Read and change settings, and see who holds them.
+    """Read and change settings, show the state of endpoints, and explain logs.
 
     PRIMROSEWOOD_URL is the address of an entry's administration port and
-    PRIMROSEWOOD_KEY the operator's key; a flag would show it to everybody who
-    lists the machine's processes. A command's own help: `COMMAND --help`.
+    PRIMROSEWOOD_KEY the operator's key. The key is no flag, as everybody who
+    lists the machine's processes could read it there. `COMMAND --help` shows
+    the help of a command.
 
     Examples
     --------
@@ -49,120 +50,143 @@
     """
 
     def __init__(self) -> None:
-        """Take address and key from the environment."""
+        """Read address and key from the environment."""
         self._url = os.environ.get(_URL_VARIABLE, '').rstrip('/')
         self._key = os.environ.get(_KEY_VARIABLE, '')
 
     def get(self, team: str, path: str = '') -> None:
-        """Print what stands at a path of a team's settings."""
-        _show(self._call('GET', f'/settings/{team}/{path}'))
+        """Print the value at a path of a team's settings."""
+        _print_json(self._request('GET', f'/settings/{team}/{path}'))
 
     def put(
         self, team: str, path: str, setting: Any, revision: int | None = None
     ) -> None:
-        """Put a JSON value at a path; '/' is the whole subtree.
+        """Store a JSON value at a path; '/' is all settings of the team.
 
-        With --revision the change is refused when the path has changed since
-        that revision. A setting that begins with @ names a file.
+        With --revision the change is refused if the path has changed since that
+        revision. A setting that begins with @ names a file that holds the
+        value.
         """
-        body = _read_setting(setting)
-        _show(self._call('PUT', _settings_path(team, path), body, revision))
+        body = _parse_setting(setting)
+        _print_json(
+            self._request('PUT', _settings_path(team, path), body, revision)
+        )
 
     def delete(self, team: str, path: str, revision: int | None = None) -> None:
-        """Delete what stands at a path."""
+        """Delete the value at a path.
+
+        With --revision the change is refused if the path has changed since that
+        revision.
+        """
         target = _settings_path(team, path)
-        _show(self._call('DELETE', target, None, revision))
+        _print_json(self._request('DELETE', target, None, revision))
 
     def diff(self, team: str, file: str) -> None:
-        """Print how a file differs from a team's settings in force.
+        """Print how a file differs from a team's current settings.
 
-        Exits with 1 when they differ.
+        Exits with 1 if they differ.
         """
         wanted = json.loads(Path(file).read_text(encoding='utf-8'))
-        answer = self._call('GET', f'/settings/{team}/')
+        answer = self._request('GET', f'/settings/{team}/')
         lines = find_differences(answer['value'], wanted)
         for line in lines:
             sys.stdout.write(f'{line}\n')
-        sys.exit(_REFUSED if lines else 0)
+        sys.exit(_EXIT_FAILURE if lines else 0)
 
     def check(self, file: str) -> None:
-        """Check a file of team settings without sending it."""
+        """Check a file of team settings without sending it.
+
+        Exits with 2 if the settings are invalid.
+        """
         document = json.loads(Path(file).read_text(encoding='utf-8'))
         try:
             check_document(document, 'team')
         except SettingsInvalidError as error:
             for fault in error.faults:
                 sys.stderr.write(f'{fault}\n')
-            sys.exit(_INVALID)
+            sys.exit(_EXIT_INVALID_SETTINGS)
         sys.stdout.write('settings are valid\n')
 
     def history(self, team: str) -> None:
-        """Print a team's last changes, oldest first."""
-        _show(self._call('GET', f'/history/{team}'))
+        """Print a team's most recent changes, oldest first."""
+        _print_json(self._request('GET', f'/history/{team}'))
 
     def status(self) -> None:
-        """Print revisions in force and the state of each endpoint."""
-        _show(self._call('GET', '/status'))
+        """Print the current revisions and the state of each endpoint."""
+        _print_json(self._request('GET', '/status'))
 
     def schema(self, name: str = 'team') -> None:
         """Print a JSON Schema (team, process or keys) for an editor."""
-        _show(self._call('GET', f'/schema/{name}'))
+        _print_json(self._request('GET', f'/schema/{name}'))
 
     def explain(self, request: str, *files: str) -> None:
-        """Print what the logs of some processes say about a request.
+        """Print what log files of several processes say about a request.
 
-        Lines come by cause: clocks of different VMs are not compared. Times
-        are seconds since the first line shown of the same process. Exits with
-        1 when no line has the id.
+        'believed' lists the lines that show the state on which processes based
+        their decisions, 'happened' the lines of the request in causal order, as
+        clocks of different VMs are not compared. Times are in seconds since the
+        first line printed of the same process. Exits with 1 if no line has the
+        request's ID.
         """
         lines = _read_logs(files)
-        # The command line library reads an id of digits as a number.
-        story = tell_story(lines, str(request))
+        # Fire parses an ID that consists of digits as a number.
+        trace = trace_request(lines, str(request))
         starts: dict[str, float] = {}
-        _write_lines(story.beliefs, 'believed', starts)
-        _write_lines(story.lines, 'happened', starts)
-        sys.stdout.write(f'verdict: {story.verdict}\n')
-        sys.exit(0 if story.lines else _REFUSED)
+        _print_lines(trace.state_lines, 'believed', starts)
+        _print_lines(trace.lines, 'happened', starts)
+        sys.stdout.write(f'verdict: {trace.verdict}\n')
+        sys.exit(0 if trace.lines else _EXIT_FAILURE)
 
     def outcomes(self, *files: str, seconds: float = 2) -> None:
-        """Print how requests ended in each span of time, as a table."""
-        counted = count_outcomes(_read_logs(files), seconds)
-        names = sorted({name for span in counted.values() for name in span})
-        _write_row('second', names)
-        for span in sorted(counted):
-            shown = [counted[span][name] for name in names]
-            _write_row(format(span * seconds, 'g'), shown)
+        """Print a table of how requests ended in each interval of time.
+
+        --seconds is the length of an interval.
+        """
+        counts = count_outcomes(_read_logs(files), seconds)
+        outcomes = sorted({name for row in counts.values() for name in row})
+        _print_row('second', outcomes)
+        for interval in sorted(counts):
+            cells = [counts[interval][outcome] for outcome in outcomes]
+            _print_row(format(interval * seconds, 'g'), cells)
 
     def losses(self, *files: str) -> None:
-        """Print which requests were lost or late, by reason, dearest first."""
-        _write_row('requests', ('tokens', 'reason', 'examples'))
+        """Print the requests that failed or were late, grouped by reason.
+
+        Reasons with the most tokens come first.
+        """
+        _print_row('requests', ('tokens', 'reason', 'examples'))
         for loss in find_losses(_read_logs(files)):
             examples = ' '.join(loss.examples)
-            shown = (loss.tokens, loss.reason, examples)
-            _write_row(str(loss.requests), shown)
+            cells = (loss.tokens, loss.reason, examples)
+            _print_row(str(loss.requests), cells)
 
     def domain_out(self, team: str, failure_domain: str) -> None:
-        """Take a failure domain out; the team 'platform' means all teams."""
-        self._put_domain(team, failure_domain, 'out')
+        """Send no new work to a failure domain.
+
+        The team 'platform' means all teams.
+        """
+        self._set_domain_state(team, failure_domain, 'out')
 
     def domain_in(self, team: str, failure_domain: str) -> None:
-        """Bring a failure domain back."""
-        self._put_domain(team, failure_domain, 'in')
+        """Send new work to a failure domain again."""
+        self._set_domain_state(team, failure_domain, 'in')
 
-    def _put_domain(self, team: str, failure_domain: str, state: str) -> None:
+    def _set_domain_state(
+        self, team: str, failure_domain: str, state: str
+    ) -> None:
         path = f'/settings/{team}/failure_domains/{failure_domain}'
-        _show(self._call('PUT', path, {'state': state}))
+        _print_json(self._request('PUT', path, {'state': state}))
 
-    def _call(
+    def _request(
         self,
         method: str,
         path: str,
         body: Any = None,
         revision: int | None = None,
     ) -> Any:
-        return asyncio.run(self._call_once(method, path, body, revision))
+        return asyncio.run(self._send_request(method, path, body, revision))
 
-    async def _call_once(
+    async def _send_request(
         self, method: str, path: str, body: Any, revision: int | None
     ) -> Any:
         headers = {'Authorization': f'Bearer {self._key}'}
@@ -177,15 +201,17 @@
                     answer = await response.json(content_type=None)
                     status = response.status
         except (aiohttp.ClientError, TimeoutError, ValueError) as error:
-            _fail({'error': {'message': f'{type(error).__name__}: {error}'}})
+            _exit_with_error(
+                {'error': {'message': f'{type(error).__name__}: {error}'}}
+            )
         if status != HTTPStatus.OK:
-            _fail(answer)
+            _exit_with_error(answer)
         return answer
 
 
 def main() -> None:
-    """Run the binary ``primrosewood-ctl``."""
-    # A reader such as head closes the pipe when it has seen enough.
+    """Run the program ``primrosewood-ctl``."""
+    # A reader such as head closes the pipe early; end without an error then.
     signal.signal(signal.SIGPIPE, signal.SIG_DFL)
     fire.Fire(Ctl(), name='primrosewood-ctl')
 
@@ -194,12 +220,13 @@
     return f'/settings/{team}/{path.strip("/")}'
 
 
-def _read_setting(setting: Any) -> Any:
+def _parse_setting(setting: Any) -> Any:
     if not isinstance(setting, str):
         return setting
     if setting.startswith('@'):
         return json.loads(Path(setting[1:]).read_text(encoding='utf-8'))
-    # The command line library reads Python's literals; JSON has some more.
+    # Fire has parsed Python literals already; JSON has some that Python lacks,
+    # such as true and null.
     try:
         return json.loads(setting)
     except ValueError:
@@ -214,29 +241,31 @@
     return parse_lines(texts)
 
 
-def _write_lines(
+def _print_lines(
     lines: Sequence[LogLine], heading: str, starts: dict[str, float]
 ) -> None:
     sys.stdout.write(f'{heading}:\n')
     for line in lines:
-        since = line.seconds - starts.setdefault(line.process, line.seconds)
-        shown = ' '.join(
-            f'{name}={text}'
-            for name, text in line.pairs.items()
-            if name not in _IN_EVERY_LINE
+        elapsed = line.timestamp - starts.setdefault(
+            line.process, line.timestamp
+        )
+        text = ' '.join(
+            f'{key}={value}'
+            for key, value in line.fields.items()
+            if key not in _COMMON_KEYS
         )
-        sys.stdout.write(f'  {line.process} +{since:.3f} {shown}\n')
+        sys.stdout.write(f'  {line.process} +{elapsed:.3f} {text}\n')
 
 
-def _write_row(first: str, cells: Sequence[Any]) -> None:
-    sys.stdout.write('\t'.join([first, *map(str, cells)]))
+def _print_row(first_cell: str, cells: Sequence[Any]) -> None:
+    sys.stdout.write('\t'.join([first_cell, *map(str, cells)]))
     sys.stdout.write('\n')
 
 
-def _show(answer: Any) -> None:
+def _print_json(answer: Any) -> None:
     sys.stdout.write(f'{json.dumps(answer, indent=2)}\n')
 
 
-def _fail(answer: Any) -> None:
+def _exit_with_error(answer: Any) -> None:
     sys.stderr.write(f'{json.dumps(answer, indent=2)}\n')
-    sys.exit(_REFUSED)
+    sys.exit(_EXIT_FAILURE)
--- a/primrosewood/loglines.py
+++ b/primrosewood/loglines.py
@@ -1,4 +1,4 @@
-"""Lines of logs, read back."""
+"""Parser of the log lines that ``logs`` writes."""
 
 import re
 from collections import Counter
@@ -8,12 +8,12 @@
 
 __all__ = ('OUTCOMES', 'STOPPED', 'LogLine', 'count_outcomes', 'parse_lines')
 
-# Events that end a request.
+# Events that report the end of a request.
 OUTCOMES = frozenset(('answered', 'call_failed', 'refused', 'caller_left'))
-# Why a call ended when its process did.
+# Logged under ``why`` when a call ended because its process stopped.
 STOPPED = 'this process stopped'
 _LINE_START = 'ts='
-_PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
+_FIELD = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,61 +22,69 @@
 
     Attributes
     ----------
-    place
-        Number of the line among all lines, from 0.
-    seconds
-        When it was written, by its own process's clock (Unix seconds).
+    index
+        Index of the line among the lines of all files, from 0.
+    process
+        Name of the process that wrote it, empty if missing.
+    event
+        Name of the event, empty if missing.
+    timestamp
+        When it was written, by the clock of its process (Unix seconds).
+    fields
+        Values of all fields, by key.
     """
 
-    place: int
+    index: int
     process: str
     event: str
-    seconds: float
-    pairs: dict[str, str]
+    timestamp: float
+    fields: dict[str, str]
 
-    def read(self, name: str) -> str:
-        """Return the value of a pair, empty when it is missing."""
-        return self.pairs.get(name, '')
+    def get(self, key: str) -> str:
+        """Return the value of a field, empty if it is missing."""
+        return self.fields.get(key, '')
 
 
 def parse_lines(texts: Iterable[str]) -> list[LogLine]:
-    """Return the log lines among some lines of text, in their order.
+    """Return the log lines among lines of text, in the same order.
 
-    What collectors put in front of a line is left out.
+    A prefix that a log collector added to a line is ignored, and so is any text
+    that isn't a log line.
     """
-    parsed = (_parse(place, text) for place, text in enumerate(texts))
+    parsed = (_parse_line(index, text) for index, text in enumerate(texts))
     return [line for line in parsed if line is not None]
 
 
 def count_outcomes(
-    lines: Sequence[LogLine], seconds: float
+    lines: Sequence[LogLine], interval_seconds: float
 ) -> dict[int, Counter[str]]:
-    """Return how requests ended, by spans of time since the first line.
+    """Return the number of requests by outcome for each interval.
 
-    Spans are for a look over a run: lines of processes whose clocks differ may
-    be one span off.
+    Intervals are counted from the first line. Timestamps of different processes
+    are compared here, so where clocks differ a request may be counted in a
+    neighbouring interval.
     """
-    counted: dict[int, Counter[str]] = {}
-    first = min((line.seconds for line in lines), default=0)
+    counts: dict[int, Counter[str]] = {}
+    start = min((line.timestamp for line in lines), default=0)
     for line in lines:
         if line.event in OUTCOMES:
-            span = int((line.seconds - first) / seconds)
-            reason = line.read('kind') or line.read('status')
-            name = f'{line.event}:{reason}' if reason else line.event
-            counted.setdefault(span, Counter())[name] += 1
-    return counted
+            interval = int((line.timestamp - start) / interval_seconds)
+            reason = line.get('kind') or line.get('status')
+            outcome = f'{line.event}:{reason}' if reason else line.event
+            counts.setdefault(interval, Counter())[outcome] += 1
+    return counts
 
 
-def _parse(place: int, text: str) -> LogLine | None:
+def _parse_line(index: int, text: str) -> LogLine | None:
     start = text.find(_LINE_START)
     if start < 0:
         return None
-    pairs = {
-        name: shown.strip('"') for name, shown in _PAIR.findall(text[start:])
+    fields = {
+        key: value.strip('"') for key, value in _FIELD.findall(text[start:])
     }
     try:
-        written = datetime.fromisoformat(pairs['ts']).timestamp()
+        timestamp = datetime.fromisoformat(fields['ts']).timestamp()
     except (KeyError, ValueError):
         return None
-    process = pairs.get('process', '')
-    return LogLine(place, process, pairs.get('event', ''), written, pairs)
+    process = fields.get('process', '')
+    return LogLine(index, process, fields.get('event', ''), timestamp, fields)
--- a/primrosewood/logstory.py
+++ b/primrosewood/logstory.py
@@ -1,9 +1,8 @@
-"""What the lines of several processes say about one request.
+"""Trace of one request, from the log lines of several processes.
 
-Clocks of VMs drift and are stepped, so the lines of different processes are
-never compared by their times.  The entry's own lines are in order; lines of the
-process beside an engine are put before the entry's line that followed from
-them.
+Clocks of VMs drift and are stepped, so lines of different processes are never
+ordered by their timestamps.  The lines of an entry are in order already; lines
+of an endpoint process are placed before the line of the entry that they caused.
 """
 
 from collections.abc import Sequence
@@ -11,12 +10,12 @@
 
 from .loglines import OUTCOMES, STOPPED, LogLine
 
-__all__ = ('Story', 'tell_story')
+__all__ = ('RequestTrace', 'trace_request')
 
-_OF_MOVES = frozenset(('moved', 'not_moved', 'move_failed'))
-_OF_ENGINES = frozenset(('engine_found', 'engine_leaves', 'engine_lost'))
-# What an entry believes of a back end, or of all of them.
-_OF_BACK_ENDS = frozenset(
+_MOVE_EVENTS = frozenset(('moved', 'not_moved', 'move_failed'))
+_ENGINE_EVENTS = frozenset(('engine_found', 'engine_leaves', 'engine_lost'))
+# State of one back end or of its limit, as an entry sees it.
+_BACK_END_EVENTS = frozenset(
     (
         'endpoint_announced',
         'endpoint_changed',
@@ -29,8 +28,9 @@
         'limit_named',
     )
 )
-_OF_LOSSES = frozenset(('endpoint_out', 'endpoint_missing'))
-_OF_ALL = frozenset(
+_REMOVAL_EVENTS = frozenset(('endpoint_out', 'endpoint_missing'))
+# State that concerns all requests of a process.
+_PROCESS_EVENTS = frozenset(
     (
         'changes_heard',
         'draining',
@@ -44,49 +44,52 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
-    """What became of a request.
+class RequestTrace:
+    """What happened to a request.
 
     Attributes
     ----------
     lines
-        By cause: each line after the ones it followed from.
-    beliefs
-        Lines without the request's id that decided what it met.
+        Lines with the request's ID, in causal order.
+    state_lines
+        Lines without the request's ID that show the state on which processes
+        based their decisions.
     verdict
-        One sentence.
+        Outcome and its cause, in one sentence.
     """
 
     lines: tuple[LogLine, ...]
-    beliefs: tuple[LogLine, ...]
+    state_lines: tuple[LogLine, ...]
     verdict: str
 
 
-def tell_story(lines: Sequence[LogLine], request: str) -> Story:
-    """Return what the lines say about a request.
+def trace_request(lines: Sequence[LogLine], request: str) -> RequestTrace:
+    """Return the trace of a request.
 
     Parameters
     ----------
     lines
-        Of all processes; lines of one process in the order in which it wrote
-        them, processes mixed in any way.
+        Lines of all processes. Those of one process are in the order in which
+        it wrote them; processes may be interleaved in any way.
     request
-        The caller's name for its request.
+        The caller's ID of its request.
     """
-    own = [line for line in lines if line.read('request') == request]
-    ordered = tuple(_order(own))
-    beliefs = tuple(_find_beliefs(lines, ordered))
-    return Story(ordered, beliefs, _judge(lines, ordered, beliefs))
+    request_lines = [line for line in lines if line.get('request') == request]
+    ordered = tuple(_order_by_cause(request_lines))
+    state_lines = tuple(_find_state_lines(lines, ordered))
+    return RequestTrace(
+        ordered, state_lines, _find_verdict(lines, ordered, state_lines)
+    )
 
 
-def _order(own: Sequence[LogLine]) -> list[LogLine]:
-    moves = [line for line in own if line.event in _OF_MOVES]
+def _order_by_cause(request_lines: Sequence[LogLine]) -> list[LogLine]:
+    moves = [line for line in request_lines if line.event in _MOVE_EVENTS]
     ordered: list[LogLine] = []
-    for line in own:
-        if line.event in _OF_MOVES:
+    for line in request_lines:
+        if line.event in _MOVE_EVENTS:
             continue
         if line.event == 'resumed':
-            ordered += _take_until_moved(moves, line.read('endpoint'))
+            ordered += _pop_move_to(moves, line.get('endpoint'))
         elif line.event in OUTCOMES:
             ordered += moves
             moves.clear()
@@ -94,197 +97,233 @@
     return ordered + moves
 
 
-def _take_until_moved(moves: list[LogLine], target: str) -> list[LogLine]:
-    """Take the lines of the process that moved a generation to a target."""
-    for moved in moves:
-        if moved.event == 'moved' and moved.read('target') == target:
-            taken = [
+def _pop_move_to(moves: list[LogLine], target: str) -> list[LogLine]:
+    """Remove and return the lines of the move to a target.
+
+    They are the lines of the process that moved the generation, up to the move.
+    """
+    for move in moves:
+        if move.event == 'moved' and move.get('target') == target:
+            popped = [
                 line
                 for line in moves
-                if line.process == moved.process and line.place <= moved.place
+                if line.process == move.process and line.index <= move.index
             ]
-            for line in taken:
+            for line in popped:
                 moves.remove(line)
-            return taken
+            return popped
     return []
 
 
-def _find_beliefs(
+def _find_state_lines(
     lines: Sequence[LogLine], ordered: Sequence[LogLine]
 ) -> list[LogLine]:
-    """Return what decided, in the order of the collected lines."""
+    """Return the lines that show the state behind the decisions.
+
+    They come in the order in which the lines of all processes were read.
+    """
     found: dict[int, LogLine] = {}
     for line in ordered:
-        for belief in _held_at(lines, line):
-            found[belief.place] = belief
-    for belief in _of_engines(lines, ordered):
-        found[belief.place] = belief
-    return [found[place] for place in sorted(found)]
+        for state_line in _find_state_before(lines, line):
+            found[state_line.index] = state_line
+    for state_line in _find_engine_lines(lines, ordered):
+        found[state_line.index] = state_line
+    return [found[index] for index in sorted(found)]
 
 
-def _held_at(lines: Sequence[LogLine], at: LogLine) -> list[LogLine]:
-    """Return the last line of each kind that a process wrote before one."""
-    held: dict[str, LogLine] = {}
-    for line in lines:
-        if line.place < at.place and line.process == at.process:
-            if line.event in _OF_ALL:
-                held[line.event] = line
-            elif _concerns(line, at):
-                held['back end'] = line
-    return list(held.values())
-
+def _find_state_before(
+    lines: Sequence[LogLine], decision: LogLine
+) -> list[LogLine]:
+    """Return the state that a process had logged before a decision of its own.
 
-def _concerns(line: LogLine, at: LogLine) -> bool:
-    # A refusal names no back end: the last one that went is what matters.
-    if at.event == 'refused':
-        return line.event in _OF_LOSSES
-    endpoint = at.read('endpoint')
-    named = {line.read('endpoint'), line.read('address')}
-    return bool(endpoint) and line.event in _OF_BACK_ENDS and endpoint in named
+    There is one line, the last, for each process-wide event and one for the
+    back end that the decision concerns.
+    """
+    latest: dict[str, LogLine] = {}
+    for line in lines:
+        if line.index < decision.index and line.process == decision.process:
+            if line.event in _PROCESS_EVENTS:
+                latest[line.event] = line
+            elif _concerns(line, decision):
+                latest['back end'] = line
+    return list(latest.values())
+
+
+def _concerns(line: LogLine, decision: LogLine) -> bool:
+    # A refusal names no back end; its cause is the last back end that was lost.
+    if decision.event == 'refused':
+        return line.event in _REMOVAL_EVENTS
+    endpoint = decision.get('endpoint')
+    names = {line.get('endpoint'), line.get('address')}
+    return (
+        bool(endpoint) and line.event in _BACK_END_EVENTS and endpoint in names
+    )
 
 
-def _of_engines(
+def _find_engine_lines(
     lines: Sequence[LogLine], ordered: Sequence[LogLine]
 ) -> list[LogLine]:
-    """Return what the processes beside the request's engines saw of them."""
-    names = {line.read('endpoint') for line in ordered} - {''}
+    """Return what endpoint processes logged about the request's engines."""
+    names = {line.get('endpoint') for line in ordered} - {''}
     addresses = names | {
-        line.read('address')
+        line.get('address')
         for line in lines
-        if line.read('endpoint') in names and line.read('address')
+        if line.get('endpoint') in names and line.get('address')
     }
-    keepers = {
+    processes = {
         line.process
         for line in lines
-        if line.event == 'engine_found' and line.read('address') in addresses
+        if line.event == 'engine_found' and line.get('address') in addresses
+    }
+    processes |= {
+        line.process for line in ordered if line.event in _MOVE_EVENTS
     }
-    keepers |= {line.process for line in ordered if line.event in _OF_MOVES}
     return [
         line
         for line in lines
-        if line.process in keepers and line.event in _OF_ENGINES
+        if line.process in processes and line.event in _ENGINE_EVENTS
     ]
 
 
-def _judge(
+def _find_verdict(
     lines: Sequence[LogLine],
     ordered: Sequence[LogLine],
-    beliefs: Sequence[LogLine],
+    state_lines: Sequence[LogLine],
 ) -> str:
     if not ordered:
         return 'no line has this id'
-    ends = [line for line in ordered if line.event in OUTCOMES]
-    if not ends:
-        return _judge_without_end(lines, ordered[-1])
-    # A failed call is refused after it, unless part of its answer was out.
-    failed = [line for line in ends if line.event == 'call_failed']
-    last = failed[-1] if failed else ends[-1]
-    if last.event == 'answered':
-        status = last.read('status')
+    outcomes = [line for line in ordered if line.event in OUTCOMES]
+    if not outcomes:
+        return _explain_missing_outcome(lines, ordered[-1])
+    # A refusal follows the line of a failed call, unless part of the answer had
+    # been sent; the failed call holds the cause.
+    failed = [line for line in outcomes if line.event == 'call_failed']
+    outcome = failed[-1] if failed else outcomes[-1]
+    if outcome.event == 'answered':
+        status = outcome.get('status')
         return f'answered with status {status}'
-    if last.event == 'caller_left':
+    if outcome.event == 'caller_left':
         return 'the caller closed its connection before it was answered'
-    kind = last.read('kind')
+    kind = outcome.get('kind')
     if kind == 'generation_lost':
-        return f'broken off: {_why_lost(ordered, last, beliefs)}'
-    return f'refused as {kind}: {_why_refused(ordered, ends, beliefs)}'
+        return f'broken off: {_explain_loss(ordered, outcome, state_lines)}'
+    return (
+        f'refused as {kind}: {_explain_refusal(ordered, outcomes, state_lines)}'
+    )
 
 
-def _judge_without_end(lines: Sequence[LogLine], last: LogLine) -> str:
+def _explain_missing_outcome(
+    lines: Sequence[LogLine], last_line: LogLine
+) -> str:
     restarted = any(
-        line.process == last.process
-        and line.place > last.place
+        line.process == last_line.process
+        and line.index > last_line.index
         and line.event == 'started'
         for line in lines
     )
     if restarted:
-        return f'{last.process} ended with it in progress and started again'
-    return f'{last.process} has not logged its end'
+        return (
+            f'{last_line.process} ended with it in progress and started again'
+        )
+    return f'{last_line.process} has not logged its end'
 
 
-def _why_lost(
-    ordered: Sequence[LogLine], last: LogLine, beliefs: Sequence[LogLine]
+def _explain_loss(
+    ordered: Sequence[LogLine],
+    outcome: LogLine,
+    state_lines: Sequence[LogLine],
 ) -> str:
-    if last.read('why') == STOPPED:
-        return f'{last.process} ended its planned stop before the answer'
-    stays = [line for line in ordered if line.event == 'not_moved']
-    lost = stays or [line for line in beliefs if line.event == 'engine_lost']
+    """Return why a generation ended after part of its answer was sent."""
+    if outcome.get('why') == STOPPED:
+        return f'{outcome.process} ended its planned stop before the answer'
+    not_moved = [line for line in ordered if line.event == 'not_moved']
+    lost = not_moved or [
+        line for line in state_lines if line.event == 'engine_lost'
+    ]
     if not lost:
-        why = last.read('why')
+        why = outcome.get('why')
         return f'the connection to its engine ended ({why})'
-    if not _had_notice(beliefs, lost[-1]):
+    if not _was_leaving(state_lines, lost[-1]):
         return 'its engine ended without notice'
     failed = [line for line in ordered if line.event == 'move_failed']
-    tried = f', copies that failed: {len(failed)}' if failed else ''
-    return f'its engine left before it was moved{tried}'
+    attempts = f', copies that failed: {len(failed)}' if failed else ''
+    return f'its engine left before it was moved{attempts}'
 
 
-def _why_leaving(ordered: Sequence[LogLine], last: LogLine) -> str:
-    judged = [line for line in ordered if line.event == 'judged_while_stopping']
-    if not judged:
-        return f'{last.process} was being stopped'
-    why = judged[-1].read('why')
-    left = judged[-1].read('left')
-    return f'{last.process} was being stopped ({why}, {left} s left)'
+def _explain_stop(ordered: Sequence[LogLine], outcome: LogLine) -> str:
+    """Return why a stopping process refused a request."""
+    admission_checks = [
+        line for line in ordered if line.event == 'judged_while_stopping'
+    ]
+    if not admission_checks:
+        return f'{outcome.process} was being stopped'
+    why = admission_checks[-1].get('why')
+    left = admission_checks[-1].get('left')
+    return f'{outcome.process} was being stopped ({why}, {left} s left)'
 
 
-def _had_notice(beliefs: Sequence[LogLine], at: LogLine) -> bool:
-    """Tell whether an engine had said before a line that it leaves."""
-    said = [
+def _was_leaving(state_lines: Sequence[LogLine], lost: LogLine) -> bool:
+    """Tell whether an engine had announced its stop before it was lost."""
+    events = [
         line.event
-        for line in beliefs
-        if line.process == at.process
-        and line.place < at.place
+        for line in state_lines
+        if line.process == lost.process
+        and line.index < lost.index
         and line.event != 'engine_lost'
     ]
-    return said[-1:] == ['engine_leaves']
+    return events[-1:] == ['engine_leaves']
 
 
-def _why_refused(
+def _explain_refusal(
     ordered: Sequence[LogLine],
-    ends: Sequence[LogLine],
-    beliefs: Sequence[LogLine],
+    outcomes: Sequence[LogLine],
+    state_lines: Sequence[LogLine],
 ) -> str:
-    if ends[-1].read('kind') == 'leaving':
-        return _why_leaving(ordered, ends[-1])
-    if ends[0].read('why') == STOPPED:
-        return f'{ends[0].process} ended its planned stop, it may have run'
+    if outcomes[-1].get('kind') == 'leaving':
+        return _explain_stop(ordered, outcomes[-1])
+    if outcomes[0].get('why') == STOPPED:
+        return f'{outcomes[0].process} ended its planned stop, it may have run'
     failed = [line for line in ordered if line.event == 'send_failed']
     if failed:
-        ran = 'may have run' if _is_doubtful(failed) else 'did not run'
-        endpoint = failed[-1].read('endpoint')
+        ran = 'may have run' if _may_have_run(failed) else 'did not run'
+        endpoint = failed[-1].get('endpoint')
         return f'{endpoint} gave no answer, it {ran}'
-    ended = ends[-1]
-    went = [
+    outcome = outcomes[-1]
+    removals = [
         line
-        for line in beliefs
-        if line.process == ended.process and line.event in _OF_LOSSES
+        for line in state_lines
+        if line.process == outcome.process and line.event in _REMOVAL_EVENTS
     ]
-    out = _standing(beliefs, ended.process, 'failure_domain_out', 'back')
-    if ended.read('kind') == 'no_endpoint' and out is not None:
-        domain = out.read('failure_domain')
+    domain_out = _find_active(
+        state_lines, outcome.process, 'failure_domain_out', 'back'
+    )
+    if outcome.get('kind') == 'no_endpoint' and domain_out is not None:
+        domain = domain_out.get('failure_domain')
         return f'failure domain {domain} was out'
-    if ended.read('kind') == 'no_endpoint' and went:
-        endpoint = went[-1].read('endpoint')
+    if outcome.get('kind') == 'no_endpoint' and removals:
+        endpoint = removals[-1].get('endpoint')
         return f'the last back end, {endpoint}, was gone'
-    version = ended.read('version') or 'none'
+    version = outcome.get('version') or 'none'
     return f'by the routes of version {version}'
 
 
-def _standing(
-    beliefs: Sequence[LogLine], process: str, event: str, ended: str
+def _find_active(
+    state_lines: Sequence[LogLine], process: str, event: str, end_suffix: str
 ) -> LogLine | None:
-    """Return a belief of a process that nothing has ended since."""
-    standing = None
-    for line in beliefs:
+    """Return the last line of an event unless a later event has ended it.
+
+    The ending event is recognised by the suffix of its name.
+    """
+    active = None
+    for line in state_lines:
         if line.process != process:
             continue
         if line.event == event:
-            standing = line
-        elif line.event.endswith(ended):
-            standing = None
-    return standing
+            active = line
+        elif line.event.endswith(end_suffix):
+            active = None
+    return active
 
 
-def _is_doubtful(failed: Sequence[LogLine]) -> bool:
-    return any(line.read('doubtful') == 'True' for line in failed)
+def _may_have_run(failed: Sequence[LogLine]) -> bool:
+    return any(line.get('doubtful') == 'True' for line in failed)
--- a/primrosewood/losses.py
+++ b/primrosewood/losses.py
@@ -1,29 +1,33 @@
-"""Which requests were lost or late, and for what reason, from logs alone."""
+"""Summary, from logs alone, of requests that failed or were late."""
 
 import re
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
 from .loglines import OUTCOMES, LogLine
-from .logstory import tell_story
+from .logstory import trace_request
 
 __all__ = ('Loss', 'find_losses')
 
-_SERVED = '2'
-_SHOWN = 3
-_WORD = re.compile(r'[\w.:-]+')
+_SUCCESS_STATUS_PREFIX = '2'
+_MAX_EXAMPLES = 3
+_NAME = re.compile(r'[\w.:-]+')
 
 
 @dataclass(slots=True)
 class Loss:
-    """Requests that were lost for one reason.
+    """Requests that failed or were late for one reason.
 
     Attributes
     ----------
+    reason
+        Reason without the names of processes and back ends.
+    requests
+        Number of the requests.
     tokens
-        Of their prompts and expected answers.
+        Tokens of their prompts and expected answers.
     examples
-        Ids of the first few.
+        IDs of the first few requests.
     """
 
     reason: str
@@ -35,65 +39,65 @@
         """Count a request."""
         self.requests += 1
         self.tokens += tokens
-        if len(self.examples) < _SHOWN:
+        if len(self.examples) < _MAX_EXAMPLES:
             self.examples.append(request)
 
 
 def find_losses(lines: Sequence[LogLine]) -> list[Loss]:
-    """Return what was lost, by reason, the dearest first.
+    """Return the losses by reason, those with the most tokens first.
 
     Parameters
     ----------
     lines
-        Of all processes, as for a story.
+        Lines of all processes, ordered as for `trace_request`.
     """
-    names = _find_names(lines)
-    sent: dict[str, int] = {}
-    ends: dict[str, LogLine] = {}
+    placeholders = _find_placeholders(lines)
+    sent_tokens: dict[str, int] = {}
+    outcomes: dict[str, LogLine] = {}
     for line in lines:
-        request = line.read('request')
+        request = line.get('request')
         if line.event == 'sent':
-            sent.setdefault(request, int(line.read('tokens') or 0))
+            sent_tokens.setdefault(request, int(line.get('tokens') or 0))
         elif line.event in OUTCOMES:
-            ends[request] = line
+            outcomes[request] = line
     losses: dict[str, Loss] = {}
-    for request in dict.fromkeys((*sent, *ends)):
-        reason = _find_reason(lines, request, ends.get(request))
+    for request in dict.fromkeys((*sent_tokens, *outcomes)):
+        reason = _find_reason(lines, request, outcomes.get(request))
         if reason:
-            reason = _leave_out(names, reason)
+            reason = _replace_names(placeholders, reason)
             loss = losses.setdefault(reason, Loss(reason))
-            loss.add(request, sent.get(request, 0))
+            loss.add(request, sent_tokens.get(request, 0))
     return sorted(
         losses.values(), key=lambda loss: (-loss.tokens, -loss.requests)
     )
 
 
 def _find_reason(
-    lines: Sequence[LogLine], request: str, end: LogLine | None
+    lines: Sequence[LogLine], request: str, outcome: LogLine | None
 ) -> str:
-    """Return why a request was lost or late, empty when it was neither."""
-    if end is not None and end.event == 'answered':
-        if not end.read('status').startswith(_SERVED):
-            status = end.read('status')
+    """Return why a request failed or was late, empty when it was neither."""
+    if outcome is not None and outcome.event == 'answered':
+        if not outcome.get('status').startswith(_SUCCESS_STATUS_PREFIX):
+            status = outcome.get('status')
             return f'its back end answered with status {status}'
-        late = end.read('late')
+        late = outcome.get('late')
         return f'late: {late}' if late else ''
-    return tell_story(lines, request).verdict
+    return trace_request(lines, request).verdict
 
 
-def _leave_out(names: dict[str, str], reason: str) -> str:
-    """Return a reason without names, so that alike ones count together."""
-    return _WORD.sub(lambda word: names.get(word[0], word[0]), reason)
+def _replace_names(placeholders: dict[str, str], reason: str) -> str:
+    """Return a reason with names replaced, so that equal ones are grouped."""
+    return _NAME.sub(lambda name: placeholders.get(name[0], name[0]), reason)
 
 
-def _find_names(lines: Sequence[LogLine]) -> dict[str, str]:
-    """Return the names that verdicts may hold, with what they stand for."""
-    names = {line.process: 'an entry' for line in lines if line.process}
-    names.update(
+def _find_placeholders(lines: Sequence[LogLine]) -> dict[str, str]:
+    """Return a placeholder for each name that a verdict may contain."""
+    placeholders = {line.process: 'an entry' for line in lines if line.process}
+    placeholders.update(
         {
-            line.read('endpoint'): 'a back end'
+            line.get('endpoint'): 'a back end'
             for line in lines
-            if line.read('endpoint')
+            if line.get('endpoint')
         }
     )
-    return names
+    return placeholders
--- a/tests/test_logstory.py
+++ b/tests/test_logstory.py
@@ -1,4 +1,4 @@
-"""What the lines of several processes say about a request."""
+"""Traces of requests, and the operators' commands that read log files."""
 
 import contextlib
 import io
@@ -8,18 +8,19 @@
 
 from primrosewood.ctl import Ctl
 from primrosewood.loglines import count_outcomes, parse_lines
-from primrosewood.logstory import tell_story
+from primrosewood.logstory import trace_request
 
 
-def line(process, second, event, **pairs):
-    shown = ' '.join(f'{name}={text}' for name, text in pairs.items())
+def line(process, second, event, **fields):
+    text = ' '.join(f'{key}={value}' for key, value in fields.items())
     return (
         f'ts=2026-01-01T00:00:{second:06.3f}+00:00 level=info '
-        f'process={process} event={event} {shown}'
+        f'process={process} event={event} {text}'
     )
 
 
-# The clock of the VM beside the engine is twenty seconds ahead.
+# A stream moves to another engine. The clock of the endpoint process ('side')
+# is 20 s ahead of the entry's.
 MOVED = [
     line('entry', 1, 'table_in_force', version=7),
     line('entry', 1.1, 'endpoint_in', endpoint='i-1', address='10.0.0.1:80'),
@@ -36,51 +37,51 @@
 ]
 
 
-class StoryTest(unittest.TestCase):
-    """Order, beliefs and verdict."""
+class RequestTraceTest(unittest.TestCase):
+    """Order of lines, state lines and verdict."""
 
-    def tell(self, texts, request='ab12'):
-        return tell_story(parse_lines(texts), request)
+    def trace(self, texts, request='ab12'):
+        return trace_request(parse_lines(texts), request)
 
     def events(self, texts):
-        return [each.event for each in self.tell(texts).lines]
+        return [each.event for each in self.trace(texts).lines]
 
-    def test_lines_come_by_cause_and_not_by_clock(self):
-        """The clock beside an engine is ahead, as after a step of the time.
+    def test_lines_are_ordered_by_cause(self):
+        """The clock of an endpoint process is ahead, as after a clock step.
 
-        By time the stream would seem to go on before it was moved, and a
-        reader would look for the cause at the wrong process.
+        Ordered by timestamp the stream would resume before it was moved, and an
+        operator would look for the cause in the wrong process.
         """
         self.assertEqual(
             ['sent', 'move_failed', 'moved', 'resumed', 'answered'],
             self.events(MOVED),
         )
-        story = self.tell(MOVED)
-        self.assertEqual('answered with status 200', story.verdict)
+        trace = self.trace(MOVED)
+        self.assertEqual('answered with status 200', trace.verdict)
         self.assertEqual(
             ['table_in_force', 'endpoint_in', 'engine_found', 'engine_leaves'],
-            [each.event for each in story.beliefs],
+            [each.event for each in trace.state_lines],
         )
 
     def test_files_in_any_order(self):
-        beside = [each for each in MOVED if 'process=side' in each]
+        endpoint = [each for each in MOVED if 'process=side' in each]
         entry = [each for each in MOVED if 'process=entry' in each]
-        self.assertEqual(self.events(MOVED), self.events(beside + entry))
+        self.assertEqual(self.events(MOVED), self.events(endpoint + entry))
 
-    def test_second_move_is_told_by_another_process(self):
+    def test_second_move_is_logged_by_another_process(self):
         texts = [
             *MOVED[:5],
             line('entry', 7, 'resumed', request='ab12', endpoint='10.0.0.4:80'),
             line('side-2', 1, 'moved', request='ab12', target='10.0.0.4:80'),
             MOVED[-1],
         ]
-        told = [each.process for each in self.tell(texts).lines]
+        processes = [each.process for each in self.trace(texts).lines]
         self.assertEqual(
             ['entry', 'side', 'entry', 'side-2', 'entry'],
-            told,
+            processes,
         )
 
-    def test_engine_that_left_too_early(self):
+    def test_engine_left_before_the_move(self):
         texts = [
             *MOVED[:4],
             *MOVED[6:8],
@@ -97,10 +98,10 @@
         self.assertEqual(
             'broken off: its engine left before it was moved, '
             'copies that failed: 1',
-            self.tell(texts).verdict,
+            self.trace(texts).verdict,
         )
 
-    def test_engine_that_crashed(self):
+    def test_engine_crashed(self):
         texts = [
             *MOVED[:4],
             MOVED[6],
@@ -116,30 +117,36 @@
         ]
         self.assertEqual(
             'broken off: its engine ended without notice',
-            self.tell(texts).verdict,
+            self.trace(texts).verdict,
         )
 
-    def test_refused_with_nowhere_to_go(self):
+    def test_refused_without_an_available_back_end(self):
         refused = line(
             'entry', 9, 'refused', request='cd34', kind='no_endpoint', version=7
         )
-        gone = line('entry', 8, 'endpoint_out', endpoint='i-1', why='removed')
-        out = line('entry', 8, 'failure_domain_out', failure_domain='d1')
-        back = line('entry', 8, 'failure_domain_back', failure_domain='d1')
+        removed = line(
+            'entry', 8, 'endpoint_out', endpoint='i-1', why='removed'
+        )
+        domain_out = line('entry', 8, 'failure_domain_out', failure_domain='d1')
+        domain_in = line('entry', 8, 'failure_domain_back', failure_domain='d1')
         cases = {
-            (gone,): 'the last back end, i-1, was gone',
-            (gone, out): 'failure domain d1 was out',
-            (gone, out, back): 'the last back end, i-1, was gone',
+            (removed,): 'the last back end, i-1, was gone',
+            (removed, domain_out): 'failure domain d1 was out',
+            (
+                removed,
+                domain_out,
+                domain_in,
+            ): 'the last back end, i-1, was gone',
             (): 'by the routes of version 7',
         }
-        for before, why in cases.items():
-            with self.subTest(why=why, lines=len(before)):
-                story = self.tell([*before, refused], 'cd34')
+        for lines_before, why in cases.items():
+            with self.subTest(why=why, lines=len(lines_before)):
+                trace = self.trace([*lines_before, refused], 'cd34')
                 self.assertEqual(
-                    f'refused as no_endpoint: {why}', story.verdict
+                    f'refused as no_endpoint: {why}', trace.verdict
                 )
 
-    def test_outcome_that_nobody_knows(self):
+    def test_unknown_outcome(self):
         texts = [
             line('entry', 1, 'sent', request='ab12', endpoint='i-9'),
             line(
@@ -160,35 +167,33 @@
             ),
             line('entry', 2, 'refused', request='ab12', kind='outcome_unknown'),
         ]
-        story = self.tell(texts)
+        trace = self.trace(texts)
         self.assertEqual(
             'refused as outcome_unknown: i-9 gave no answer, it may have run',
-            story.verdict,
-        )
-        self.assertEqual(
-            'an answer to another call', story.lines[1].read('why')
+            trace.verdict,
         )
+        self.assertEqual('an answer to another call', trace.lines[1].get('why'))
 
-    def test_process_that_ended(self):
+    def test_process_ended_without_a_log_line(self):
         """A VM loses power with a stream in progress.
 
-        Nothing is logged at the end; the next line of that process is its
+        The process logs nothing when it ends; its next line is that of its
         start.
         """
         self.assertEqual(
-            'entry has not logged its end', self.tell(MOVED[:4]).verdict
+            'entry has not logged its end', self.trace(MOVED[:4]).verdict
         )
         restarted = [*MOVED[:4], line('entry', 6, 'started')]
         self.assertEqual(
             'entry ended with it in progress and started again',
-            self.tell(restarted).verdict,
+            self.trace(restarted).verdict,
         )
 
-    def test_entry_that_was_stopped(self):
-        """A stream outlives its entry's stop, and another one is refused.
+    def test_planned_stop_of_the_entry(self):
+        """A stream is cut off by its entry's stop; another one is refused.
 
-        On-call must see at once that it was the stop, how much time was left
-        when it was let in, and why it was.
+        The verdict must name the stop as the cause, and for a refusal the time
+        that was left and the reason of the admission check.
         """
         texts = [
             line('entry', 1, 'draining', active=2),
@@ -214,10 +219,10 @@
         ]
         self.assertEqual(
             'broken off: entry ended its planned stop before the answer',
-            self.tell(texts).verdict,
+            self.trace(texts).verdict,
         )
-        self.assertEqual('draining', self.tell(texts).beliefs[0].event)
-        untold = [
+        self.assertEqual('draining', self.trace(texts).state_lines[0].event)
+        unanswered = [
             *texts[:3],
             texts[-1].replace('generation_lost', 'outcome_unknown'),
             line('entry', 8, 'refused', request='ab12', kind='outcome_unknown'),
@@ -225,24 +230,24 @@
         self.assertEqual(
             'refused as outcome_unknown: entry ended its planned stop, '
             'it may have run',
-            self.tell(untold).verdict,
+            self.trace(unanswered).verdict,
         )
         self.assertEqual(
             'refused as leaving: entry was being stopped '
             '(too_long, 2.2 s left)',
-            self.tell(texts, 'cd34').verdict,
+            self.trace(texts, 'cd34').verdict,
         )
 
-    def test_nothing_is_known(self):
+    def test_no_line_has_the_id(self):
         texts = ['no line at all', 'ts=never event=sent request=ab12', 'ts=']
-        self.assertEqual('no line has this id', self.tell(texts).verdict)
+        self.assertEqual('no line has this id', self.trace(texts).verdict)
 
-    def test_what_a_collector_puts_in_front(self):
+    def test_prefix_added_by_a_log_collector(self):
         texts = [f'  12.3 vm-7 | {each}' for each in MOVED]
-        self.assertEqual(5, len(self.tell(texts).lines))
+        self.assertEqual(5, len(self.trace(texts).lines))
 
-    def test_outcomes_by_time(self):
-        counted = count_outcomes(
+    def test_outcomes_by_interval(self):
+        counts = count_outcomes(
             parse_lines(
                 [
                     *MOVED,
@@ -257,21 +262,21 @@
                 0: {'refused:leaving': 1, 'caller_left': 1},
                 4: {'answered:200': 1},
             },
-            counted,
+            counts,
         )
 
 
 class CommandTest(unittest.TestCase):
-    """The operators' commands on files."""
+    """The commands of `primrosewood-ctl` that read log files."""
 
     def run_command(self, command, *arguments):
-        shown = io.StringIO()
-        with contextlib.redirect_stdout(shown):
+        output = io.StringIO()
+        with contextlib.redirect_stdout(output):
             try:
                 getattr(Ctl(), command)(*arguments)
-            except SystemExit as ended:
-                return ended.code, shown.getvalue()
-        return 0, shown.getvalue()
+            except SystemExit as error:
+                return error.code, output.getvalue()
+        return 0, output.getvalue()
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -280,13 +285,13 @@
         self.file.write_text('\n'.join(MOVED))
 
     def test_explain(self):
-        code, shown = self.run_command('explain', 'ab12', str(self.file))
+        code, output = self.run_command('explain', 'ab12', str(self.file))
         self.assertEqual(0, code)
-        self.assertIn('verdict: answered with status 200\n', shown)
-        self.assertIn('  side +4.000 event=moved target=10.0.0.2:80\n', shown)
-        code, shown = self.run_command('explain', 'zz', str(self.file))
+        self.assertIn('verdict: answered with status 200\n', output)
+        self.assertIn('  side +4.000 event=moved target=10.0.0.2:80\n', output)
+        code, output = self.run_command('explain', 'zz', str(self.file))
         self.assertEqual(1, code)
 
     def test_outcomes(self):
-        code, shown = self.run_command('outcomes', str(self.file))
-        self.assertEqual((0, 'second\tanswered:200\n8\t1\n'), (code, shown))
+        code, output = self.run_command('outcomes', str(self.file))
+        self.assertEqual((0, 'second\tanswered:200\n8\t1\n'), (code, output))
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""What was lost, told by logs."""
+"""Requests that failed or were late, summarised from log lines."""
 
 import unittest
 
@@ -19,30 +19,32 @@
 
 
 class LossesTest(unittest.TestCase):
-    """Reasons, counts and order."""
+    """Reasons, examples, token counts and order of losses."""
 
     def setUp(self):
         lines = parse_lines(LINES.strip().splitlines())
         self.losses = {loss.reason: loss for loss in find_losses(lines)}
 
-    def test_what_was_served_on_time_is_no_loss(self):
+    def test_request_answered_on_time_is_no_loss(self):
         examples = [
-            each for loss in self.losses.values() for each in loss.examples
+            request
+            for loss in self.losses.values()
+            for request in loss.examples
         ]
         self.assertNotIn('a', examples)
         self.assertEqual(4, len(examples))
 
-    def test_process_that_ended_is_told_without_its_name(self):
+    def test_reason_does_not_name_the_process(self):
         reason = 'an entry ended with it in progress and started again'
         self.assertEqual(['b'], self.losses[reason].examples)
         self.assertEqual(4000, self.losses[reason].tokens)
 
-    def test_late_and_failed_answers_are_told_apart(self):
+    def test_late_and_failed_answers_differ(self):
         self.assertEqual(['c'], self.losses['late: pause'].examples)
         failed = 'its back end answered with status 500'
         self.assertEqual(['d'], self.losses[failed].examples)
 
-    def test_dearest_first(self):
+    def test_most_tokens_first(self):
         self.assertEqual(
             [4000, 3000, 2500, 0],
             [loss.tokens for loss in self.losses.values()],
--- a/tests/test_platform_explain.py
+++ b/tests/test_platform_explain.py
@@ -1,7 +1,7 @@
-"""From a request's id to the cause of its failure, by logs alone.
+"""Logs alone lead from a request's ID to the cause of its failure.
 
-Each test does what docs/OPERATIONS.md says, on the lines of a run against the
-stand-ins.
+Each test follows docs/OPERATIONS.md, with log lines of entries and endpoint
+processes that run against the stand-ins.
 """
 
 import asyncio
@@ -16,21 +16,21 @@
 
 from primrosewood.loglines import parse_lines
 from primrosewood.logs import configure_logs
-from primrosewood.logstory import tell_story
+from primrosewood.logstory import trace_request
 
 from .deployment import GUIDE, Deployment
 
 
 class ExplainTest(Deployment):
-    """Three kinds of failed request."""
+    """Failed requests, explained by the lines that were logged."""
 
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.file = Path(folder.name) / 'lines'
-        lines = self.file.open('w')
-        self.addCleanup(lines.close)
-        with mock.patch('sys.stdout', lines):
+        log_file = self.file.open('w')
+        self.addCleanup(log_file.close)
+        with mock.patch('sys.stdout', log_file):
             configure_logs('all-of-them')
         self.addCleanup(self.restore_logs)
         await super().asyncSetUp()
@@ -40,16 +40,20 @@
         logger.add(sys.stderr)
 
     def verdict(self, request):
-        """Return what the operators' reader makes of the same lines."""
+        """Return the verdict of `primrosewood-ctl explain` for a request."""
         lines = parse_lines(self.file.read_text().splitlines())
-        return tell_story(lines, request).verdict
+        return trace_request(lines, request).verdict
 
     def grep(self, pattern):
         lines = self.file.read_text().splitlines()
         return [line for line in lines if re.search(pattern, line)]
 
-    async def test_stream_that_broke_off(self):
-        """A reader complains that a guide stopped halfway."""
+    async def test_stream_breaks_off(self):
+        """Engines crash while a caller reads a stream.
+
+        The endpoint processes log no failed move, so the entry's lines alone
+        must show the cause.
+        """
         for engine in self.engines.values():
             engine.events = 1
         await self.wait_for(self.has_reports)
@@ -77,8 +81,8 @@
             self.verdict('ab12'),
         )
 
-    async def test_stream_whose_engine_crashed_and_went(self):
-        """An engine loses power under a reader, without notice."""
+    async def test_engine_loses_power_during_a_stream(self):
+        """Engines lose power without notice while a caller reads a stream."""
         for engine in self.engines.values():
             engine.events = 1000
         reading = asyncio.create_task(
@@ -89,12 +93,12 @@
             engine.lose_power()
         with self.assertRaises(aiohttp.ClientPayloadError):
             await reading
-        await self.wait_for(self.has_lost)
+        await self.wait_for(self.engines_are_lost)
         self.assertEqual(
             'broken off: its engine ended without notice', self.verdict('ab12')
         )
 
-    async def has_lost(self):
+    async def engines_are_lost(self):
         return len(self.grep('event=engine_lost')) == len(self.engines)
 
     async def has_reports(self):
@@ -104,8 +108,8 @@
         reported = {re.search('endpoint=[^ ]+', line)[0] for line in lines}
         return len(reported) == len(self.engines)
 
-    async def test_refused_though_it_should_have_run(self):
-        """A shop complains that look-ups were refused for a while."""
+    async def test_refused_while_its_failure_domain_is_out(self):
+        """Look-ups are refused while an operator has taken out a domain."""
         await self.put('op/evacuate/d1', {})
 
         async def is_refused():
@@ -116,18 +120,22 @@
         self.assertIn('event=refused', refused)
         self.assertIn('kind=no_endpoint', refused)
         self.assertIn('ran=no', refused)
-        out = self.grep(
+        removals = self.grep(
             'event=(endpoint_out|endpoint_missing|failure_domain_out)'
         )
-        self.assertIn('failure_domain=d1', out[-1])
-        self.assertIn('revision=', out[-1])
+        self.assertIn('failure_domain=d1', removals[-1])
+        self.assertIn('revision=', removals[-1])
         self.assertEqual(
             'refused as no_endpoint: failure domain d1 was out',
             self.verdict('cd34'),
         )
 
-    async def test_outcome_that_nobody_knows(self):
-        """A counter complains: was the reorder placed or not?"""
+    async def test_unknown_outcome(self):
+        """The connection of a reorder breaks, so that it may have been placed.
+
+        The lines must say that its outcome is unknown, and that it was sent
+        only once.
+        """
         self.service.spoil = lambda request: request.transport.abort()
         self.assertEqual(502, await self.status('POST', '/issue/', data=b'x'))
         doubtful = self.grep('request=ab12.*event=send_failed') or self.grep(
@@ -144,7 +152,7 @@
             self.verdict('ab12'),
         )
 
-    async def test_no_secret_in_any_line(self):
+    async def test_no_line_contains_a_secret(self):
         await self.call('POST', '/guide/1', headers=GUIDE, data=b'our prompt')
         await self.call(
             'GET', '/lookup/', headers={'Authorization': 'Bearer z9'}
