--- a/primrosewood/__init__.py
+++ b/primrosewood/__init__.py
@@ -1,1 +1,1 @@
-"""Serving system for generations of unknown length on crowded engines."""
+"""Serving system for generations of unknown length on busy engines."""
--- a/primrosewood/caller.py
+++ b/primrosewood/caller.py
@@ -1,4 +1,4 @@
-"""A caller that resumes streams and comes back when it is told to."""
+"""Client of entries that resumes streams and retries as their errors allow."""
 
 import asyncio
 import time
@@ -14,35 +14,63 @@
 
 __all__ = ('Caller', 'CallerAnswer', 'CallerSettings', 'TaskCaller')
 
-_MOST_ATTEMPTS = 8
-_CUT_PAUSE = 0.2
-_EXTRA_TOKENS = 10
-_BAD = 400
-_DATA = b'data: '
-_ID = b'id: '
+_MAX_ATTEMPTS = 8
+# Delay before a retry when an attempt ends without an error from the entry.
+_CUT_RETRY_SECONDS = 0.2
+_MAX_TOKENS_MARGIN = 10
+_FIRST_ERROR_STATUS = 400
+_DATA_PREFIX = b'data: '
+_ID_PREFIX = b'id: '
 
 
 @dataclass(frozen=True, slots=True)
 class CallerSettings:
-    """Entries to use, one after the other, and the organisation's key."""
+    """Settings of a caller.
+
+    Attributes
+    ----------
+    urls
+        URLs of entries; each attempt goes to the next one.
+    key
+        API key of the organisation.
+    max_attempts
+        Largest number of attempts for a task.
+    """
 
     urls: tuple[str, ...]
     key: str
-    most_attempts: int = _MOST_ATTEMPTS
+    max_attempts: int = _MAX_ATTEMPTS
 
 
 @dataclass(slots=True)
 class CallerAnswer:
-    """What came back; times in seconds.
+    """Answer to a task, collected over all attempts.
 
     Attributes
     ----------
+    status
+        HTTP status of the last response.
+    tokens
+        Tokens received, in order.
+    body
+        Body of an answer that is not streamed.
+    event_id
+        ID of the last event received, from which a stream is resumed.
+    complete
+        Whether the whole answer has been received.
     error, ran
-        Error kind of the last attempt, and what the system says of it.
+        Error kind of the last attempt, and whether the request ran according to
+        the error. The kind starts with ``cut_`` when the connection failed.
+    retry_seconds
+        Delay before the next attempt.
+    attempts
+        Number of attempts.
     first_token
-        From the first attempt to the first token.
+        Seconds from the first attempt to the first token.
     largest_gap
-        Longest time between two chunks of a stream.
+        Longest time in seconds between two chunks of a stream.
+    seconds
+        Seconds from the first attempt to the end of the last one.
     """
 
     status: int = 0
@@ -60,20 +88,28 @@
 
 
 class TaskCaller(ABC):
-    """Sends tasks of a workload, each to one entry after the other."""
+    """Sends the tasks of a workload and retries at the next entry.
+
+    Parameters
+    ----------
+    session
+        HTTP session, which the caller does not close.
+    settings
+        Entries, key and number of attempts.
+    """
 
     def __init__(
         self, session: aiohttp.ClientSession, settings: CallerSettings
     ) -> None:
-        """Take a session that outlives the caller."""
+        """Keep the session and the settings."""
         self._session = session
         self._settings = settings
 
     async def send(self, task: Task) -> CallerAnswer:
-        """Send a task until it is answered or may not be sent again."""
+        """Send a task until it is answered or may not be retried."""
         answer = CallerAnswer()
         started = time.monotonic()
-        while answer.attempts < self._settings.most_attempts:
+        while answer.attempts < self._settings.max_attempts:
             await self._send_once(task, answer, started)
             if not self._may_return(task, answer):
                 break
@@ -93,15 +129,25 @@
                 answer.status = response.status
                 await self._read(response, answer, started)
         except (aiohttp.ClientError, TimeoutError) as error:
-            name = type(error).__name__
-            answer.error = f'cut_{name}'
+            error_type = type(error).__name__
+            answer.error = f'cut_{error_type}'
             answer.ran = 'unknown'
 
     @abstractmethod
     def _request(
         self, url: str, task: Task, answer: CallerAnswer
     ) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
-        """Return the request of one attempt; the answer is the last one's."""
+        """Return the HTTP request of one attempt.
+
+        Parameters
+        ----------
+        url
+            URL of the entry.
+        task
+            What is sent.
+        answer
+            What earlier attempts have received.
+        """
 
     @abstractmethod
     async def _read(
@@ -110,24 +156,34 @@
         answer: CallerAnswer,
         started: float,
     ) -> None:
-        """Read a response into the answer."""
+        """Read a response into the answer.
+
+        Parameters
+        ----------
+        response
+            Response of one attempt.
+        answer
+            Answer that is updated.
+        started
+            Monotonic time in seconds of the first attempt.
+        """
 
     @abstractmethod
     def _may_return(self, task: Task, answer: CallerAnswer) -> bool:
-        """Tell whether a task may be sent again."""
+        """Tell whether a task may be sent again after an attempt."""
 
 
 class Caller(TaskCaller):
-    """A caller of the product's own interface."""
+    """Caller of the completions and services API of `primrosewood-entry`."""
 
     def _request(
         self, url: str, task: Task, answer: CallerAnswer
     ) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
-        answer.retry_seconds = _CUT_PAUSE
+        answer.retry_seconds = _CUT_RETRY_SECONDS
         return self._session.request(
             task.kind.method or 'POST',
-            urljoin(url, _path_of(task)),
-            json=_body_of(task),
+            urljoin(url, _request_path(task)),
+            json=_request_body(task),
             headers=self._headers(task, answer),
         )
 
@@ -137,7 +193,7 @@
         answer: CallerAnswer,
         started: float,
     ) -> None:
-        await _AnswerReader(answer, started).read(response)
+        await _ResponseReader(answer, started).read(response)
 
     def _may_return(self, task: Task, answer: CallerAnswer) -> bool:
         return _may_return(task, answer)
@@ -152,25 +208,25 @@
         return headers
 
 
-class _AnswerReader:
-    """Reads one response into an answer."""
+class _ResponseReader:
+    """Reads the response of one attempt into an answer."""
 
     def __init__(self, answer: CallerAnswer, started: float) -> None:
         self._answer = answer
         self._started = started
-        self._last = 0
+        self._last_chunk_at = 0
 
     async def read(self, response: aiohttp.ClientResponse) -> None:
         if response.content_type == 'text/event-stream':
             async for line in response.content:
-                self._take_line(line.strip())
+                self._parse_event_line(line.strip())
             if not self._answer.complete and not self._answer.error:
                 self._answer.error = 'cut_early_end'
             return
         body = await response.read()
-        self._note_chunk()
-        if response.status >= _BAD:
-            self._take_error(msgspec.json.decode(body).get('error', {}))
+        self._record_chunk_time()
+        if response.status >= _FIRST_ERROR_STATUS:
+            self._record_error(msgspec.json.decode(body).get('error', {}))
             return
         self._answer.complete = True
         self._answer.body = body.decode()
@@ -178,65 +234,66 @@
             text = msgspec.json.decode(body)['choices'][0]['text']
             self._answer.tokens = text.split()
 
-    def _take_line(self, line: bytes) -> None:
-        if line.startswith(_ID):
-            self._answer.event_id = line[len(_ID) :].decode()
+    def _parse_event_line(self, line: bytes) -> None:
+        if line.startswith(_ID_PREFIX):
+            self._answer.event_id = line[len(_ID_PREFIX) :].decode()
         elif line == b'data: [DONE]':
             self._answer.complete = True
-        elif line.startswith(_DATA):
-            self._take_chunk(msgspec.json.decode(line[len(_DATA) :]))
+        elif line.startswith(_DATA_PREFIX):
+            self._record_chunk(msgspec.json.decode(line[len(_DATA_PREFIX) :]))
 
-    def _take_chunk(self, chunk) -> None:
+    def _record_chunk(self, chunk) -> None:
         error = chunk.get('error')
         if error is not None:
-            self._take_error(error)
+            self._record_error(error)
             return
-        self._note_chunk()
+        self._record_chunk_time()
         for choice in chunk['choices']:
             self._answer.tokens += choice['text'].split()
 
-    def _take_error(self, error) -> None:
+    def _record_error(self, error) -> None:
         answer = self._answer
         answer.error = error.get('type', 'unknown')
         answer.ran = error.get('ran', 'unknown')
         answer.retry_seconds = error.get('retry_after_seconds', 0)
 
-    def _note_chunk(self) -> None:
+    def _record_chunk_time(self) -> None:
         now = time.monotonic()
-        if self._last:
-            gap = now - self._last
+        if self._last_chunk_at:
+            gap = now - self._last_chunk_at
             self._answer.largest_gap = max(self._answer.largest_gap, gap)
         elif not self._answer.first_token:
             self._answer.first_token = now - self._started
-        self._last = now
+        self._last_chunk_at = now
 
 
 def _may_return(task: Task, answer: CallerAnswer) -> bool:
     if answer.complete or not answer.error:
         return False
     if answer.error.startswith('cut_'):
-        # A stream that was cut goes on at its last event; what has an
-        # idempotency key, or changes nothing, may be sent again.
-        safe = task.kind.keyed or task.kind.method == 'GET'
-        return safe or bool(answer.event_id) or not answer.tokens
+        # A stream is resumed after its last event. A request that has an
+        # idempotency key or changes no state can be repeated safely.
+        repeatable = task.kind.keyed or task.kind.method == 'GET'
+        return repeatable or bool(answer.event_id) or not answer.tokens
     return answer.ran == 'no' and answer.retry_seconds > 0
 
 
-def _path_of(task: Task) -> str:
+def _request_path(task: Task) -> str:
     path = task.kind.path
     if path:
         return f'/services/{path}'
     return '/v1/completions'
 
 
-def _body_of(task: Task) -> dict | None:
+def _request_body(task: Task) -> dict | None:
     if task.kind.path:
         return {'task': task.name} if task.kind.method == 'POST' else None
-    # Stand-in engines read the length; real ones find theirs themselves.
-    asked = f'{task.name} [length={task.length}]'
+    # Stand-in engines generate the number of tokens given in the prompt; real
+    # engines end the answer themselves.
+    prompt = f'{task.name} [length={task.length}]'
     return {
         'model': 'cert-1',
-        'prompt': asked,
-        'max_tokens': task.length + _EXTRA_TOKENS,
+        'prompt': prompt,
+        'max_tokens': task.length + _MAX_TOKENS_MARGIN,
         'stream': task.kind.streamed,
     }
--- a/primrosewood/ctl.py
+++ b/primrosewood/ctl.py
@@ -34,9 +34,9 @@
     """Read and change settings, show the state of endpoints, and explain logs.
 
     PRIMROSEWOOD_URL is the address of an entry's administration port and
-    PRIMROSEWOOD_KEY the operator's key. The key is no flag, as everybody who
-    lists the machine's processes could read it there. `COMMAND --help` shows
-    the help of a command.
+    PRIMROSEWOOD_KEY the operator's key. The key isn't passed as a flag, as
+    everybody who can list the machine's processes could read it there. `COMMAND
+    --help` shows the help of a command.
 
     Examples
     --------
@@ -140,7 +140,7 @@
     def outcomes(self, *files: str, seconds: float = 2) -> None:
         """Print a table of how requests ended in each interval of time.
 
-        --seconds is the length of an interval.
+        --seconds is the length of an interval in seconds.
         """
         counts = count_outcomes(_read_logs(files), seconds)
         outcomes = sorted({name for row in counts.values() for name in row})
--- a/primrosewood/invariants.py
+++ b/primrosewood/invariants.py
@@ -1,7 +1,7 @@
-"""What must always hold, checked on what callers and back ends recorded.
+"""Checker of the system's invariants, from records of callers and back ends.
 
-Tests, the demo and the load tool give the same history of events to the
-same rules; each rule returns a line for every breach it finds.
+Tests, the demo and the load tool record a history of events and apply the same
+checks to it.  Each check returns one message for every breach.
 """
 
 from collections import defaultdict
@@ -15,9 +15,9 @@
     'RunRecord',
     'SettingRecord',
     'check_history',
-    'check_left_out',
+    'check_out_of_service',
     'check_not_run',
-    'check_once',
+    'check_idempotency_keys',
     'check_settings',
     'check_tokens',
 )
@@ -30,15 +30,15 @@
     Attributes
     ----------
     request
-        What the caller asked for; unique.
+        Unique name of the request.
     tokens
-        Tokens in the order received, each ``generation.index``.
+        Tokens in the order received, each as ``generation.index``.
     complete
-        Whether the answer ended as whole.
+        Whether the whole answer was received.
     kind, ran
-        Error kind, and whether the system says that the request ran.
+        Error kind, and whether the request ran according to the error.
     key
-        Idempotency key, empty when there was none.
+        Idempotency key, empty if there was none.
     """
 
     request: str
@@ -51,7 +51,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RunRecord:
-    """One run at a back end, with when it began (wall clock, seconds)."""
+    """One run of a request at a back end.
+
+    Attributes
+    ----------
+    request
+        Name of the request.
+    endpoint, failure_domain
+        Where it ran.
+    at
+        When it began, in seconds of the wall clock.
+    key
+        Idempotency key, empty if there was none.
+    """
 
     request: str
     endpoint: str
@@ -62,27 +74,28 @@
 
 @dataclass(frozen=True, slots=True)
 class OutPeriod:
-    """A time in which an endpoint or failure domain was out.
+    """A period in which an endpoint or failure domain was out of service.
 
     Attributes
     ----------
     name
-        The endpoint or failure domain.
+        Name of the endpoint or failure domain.
     since, until
-        When the change was accepted, and when the return was asked for.
-    grace
-        Seconds after ``since`` in which new work is still allowed.
+        When the change that takes it out was accepted, and when the change that
+        brings it back was requested, in seconds of the wall clock.
+    grace_seconds
+        Time after ``since`` in which new work may still start.
     """
 
     name: str
     since: float
     until: float
-    grace: float
+    grace_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class SettingRecord:
-    """A revision that a process had in force, in the order seen."""
+    """A revision of a team's settings that a process was seen to use."""
 
     process: str
     team: str
@@ -91,43 +104,53 @@
 
 @dataclass(slots=True)
 class History:
-    """Everything that was recorded."""
+    """Everything that was recorded.
+
+    Attributes
+    ----------
+    settings
+        Revisions in the order in which they were seen.
+    """
 
     answers: list[AnswerRecord] = field(default_factory=list)
     runs: list[RunRecord] = field(default_factory=list)
-    outs: list[OutPeriod] = field(default_factory=list)
+    out_of_service: list[OutPeriod] = field(default_factory=list)
     settings: list[SettingRecord] = field(default_factory=list)
 
 
 def check_history(history: History) -> list[str]:
-    """Return the breaches of all rules."""
+    """Return the breaches that all checks find."""
     return [
         *check_tokens(history.answers),
-        *check_once(history.runs),
+        *check_idempotency_keys(history.runs),
         *check_not_run(history.answers, history.runs),
-        *check_left_out(history.runs, history.outs),
+        *check_out_of_service(history.runs, history.out_of_service),
         *check_settings(history.settings),
     ]
 
 
 def check_tokens(answers: Iterable[AnswerRecord]) -> list[str]:
-    """Check that every token came once, in order, from one generation."""
+    """Check that each answer has every token once and in order.
+
+    All tokens must come from one generation, and an answer must end either
+    complete or with an error.
+    """
     breaches = []
     for answer in answers:
         generations = {token.partition('.')[0] for token in answer.tokens}
         if len(generations) > 1:
             breaches.append(f'{answer.request}: {len(generations)} generations')
         indices = [token.partition('.')[2] for token in answer.tokens]
-        wanted = [str(index) for index in range(len(indices))]
-        if indices != wanted:
+        expected = [str(index) for index in range(len(indices))]
+        if indices != expected:
             breaches.append(f'{answer.request}: tokens lost, doubled or mixed')
         if not answer.complete and not answer.kind:
             breaches.append(f'{answer.request}: neither an answer nor an error')
     return breaches
 
 
-def check_once(runs: Iterable[RunRecord]) -> list[str]:
-    """Check that a request under an idempotency key runs at most once."""
+def check_idempotency_keys(runs: Iterable[RunRecord]) -> list[str]:
+    """Check that at most one request runs for each idempotency key."""
     counts: dict[str, int] = defaultdict(int)
     for run in runs:
         if run.key:
@@ -142,7 +165,7 @@
 def check_not_run(
     answers: Iterable[AnswerRecord], runs: Iterable[RunRecord]
 ) -> list[str]:
-    """Check that what was refused as not run did not run."""
+    """Check that no request ran whose error says that it did not."""
     started = {run.request for run in runs}
     return [
         f'{answer.request}: answered {answer.kind} (not run), but it ran'
@@ -151,16 +174,19 @@
     ]
 
 
-def check_left_out(
-    runs: Iterable[RunRecord], outs: Iterable[OutPeriod]
+def check_out_of_service(
+    runs: Iterable[RunRecord], out_of_service: Iterable[OutPeriod]
 ) -> list[str]:
-    """Check that what is out gets no new work after the grace."""
+    """Check that no work starts at an endpoint or domain that is out.
+
+    Work that starts within the grace period is allowed.
+    """
     breaches = []
-    periods = list(outs)
+    periods = list(out_of_service)
     for run in runs:
         for out in periods:
             delay = run.at - out.since
-            if _is_breach(run, out):
+            if _started_while_out(run, out):
                 breaches.append(
                     f'{run.request}: new work at {out.name}, {delay:.2f} s out'
                 )
@@ -168,18 +194,22 @@
 
 
 def check_settings(settings: Iterable[SettingRecord]) -> list[str]:
-    """Check that a setting in force never goes back."""
+    """Check that no process goes back to an older revision of settings."""
     breaches = []
     newest: dict[tuple[str, str], int] = {}
     for seen in settings:
-        place = (seen.process, seen.team)
-        if seen.revision < newest.get(place, 0):
-            breaches.append(f'{seen.process}: {seen.team} went back')
-        newest[place] = max(newest.get(place, 0), seen.revision)
+        process_and_team = (seen.process, seen.team)
+        if seen.revision < newest.get(process_and_team, 0):
+            breaches.append(
+                f'{seen.process}: settings of {seen.team} went back'
+            )
+        newest[process_and_team] = max(
+            newest.get(process_and_team, 0), seen.revision
+        )
     return breaches
 
 
-def _is_breach(run: RunRecord, out: OutPeriod) -> bool:
-    if out.name not in {run.endpoint, run.failure_domain}:
+def _started_while_out(run: RunRecord, period: OutPeriod) -> bool:
+    if period.name not in {run.endpoint, run.failure_domain}:
         return False
-    return out.since + out.grace < run.at < out.until
+    return period.since + period.grace_seconds < run.at < period.until
--- a/primrosewood/load.py
+++ b/primrosewood/load.py
@@ -1,4 +1,4 @@
-"""Load and experiment tool: sends workloads, records answers, checks them."""
+"""Load tool: sends a workload, records the answers and checks them."""
 
 import asyncio
 import random
@@ -15,24 +15,24 @@
 
 from .caller import Caller, CallerAnswer, CallerSettings, TaskCaller
 from .invariants import AnswerRecord, check_tokens
-from .metrics import Percentiles
+from .metrics import DurationHistogram
 from .workloads import Task, make_tasks, workload_names
 
 __all__ = ('LoadTool', 'main', 'run_workload', 'split_urls')
 
 _PERCENTILES = (50, 95, 99, 99.9)
-_BROKEN = 1
-_CLIENT_SECONDS = 600
+_EXIT_FAULTS_FOUND = 1
+_REQUEST_TIMEOUT_SECONDS = 600
 
 
 @dataclass(frozen=True, slots=True)
-class _Sent:
+class _CompletedTask:
     task: Task
     answer: CallerAnswer
 
 
 class LoadTool:
-    r"""Send generations and service calls to entries and measure them.
+    r"""Send generations and service calls to entries and measure the answers.
 
     Examples
     --------
@@ -56,24 +56,28 @@
         seed: int = 1,
         out: str = '',
     ) -> None:
-        """Send a workload and print what came back.
+        """Send a workload and print a summary of the answers.
+
+        Exits with 1 if an answer breaks an invariant.
 
         Parameters
         ----------
         urls
-            Entries, separated by commas; a retry goes to the next one.
+            URLs of entries, separated by commas; a retry goes to the next one.
         key
-            The organisation's key.
+            API key of the organisation.
         workload
-            One of those that `workloads` prints.
+            Name of a workload that `workloads` prints.
         rate
-            Requests a second on average; they arrive whatever the load.
+            Mean number of requests sent in a second; sending does not wait for
+            answers (open loop).
         seconds
             How long requests are sent.
         seed
-            The same seed sends the same requests.
+            Seed of times, kinds and lengths; the same seed sends the same
+            requests.
         out
-            File for one JSON line for each answer.
+            File that gets one JSON line for each answer.
         """
         settings = CallerSettings(split_urls(urls), key)
         run_workload(
@@ -83,16 +87,38 @@
         )
 
     def report(self, file: str) -> None:
-        """Print the summary of a file that `run` wrote."""
+        """Print the summary of a file that `run` wrote.
+
+        Exits with 1 if an answer breaks an invariant.
+        """
         lines = Path(file).read_bytes().splitlines()
-        decoded = [msgspec.json.decode(line, type=Line) for line in lines]
-        sys.exit(_report(decoded))
+        decoded = [msgspec.json.decode(line, type=AnswerLine) for line in lines]
+        sys.exit(_print_summary(decoded))
 
 
-class Line(msgspec.Struct):
-    """One answer in a file of answers.
+class AnswerLine(msgspec.Struct):
+    """One line of a file of answers.
 
-    Times are in seconds.
+    Attributes
+    ----------
+    kind
+        Name of the kind of request.
+    status
+        HTTP status of the last attempt.
+    error, ran
+        Error kind of the last attempt, and whether the request ran.
+    tokens
+        Number of tokens received.
+    attempts
+        Number of attempts.
+    first_token
+        Seconds from the first attempt to the first token.
+    largest_gap
+        Longest time in seconds between two chunks of a stream.
+    seconds
+        Seconds from the first attempt to the end of the last one.
+    faults
+        Invariants that the answer breaks.
     """
 
     kind: str
@@ -108,72 +134,77 @@
 
 
 def main() -> None:
-    """Run the binary ``primrosewood-load``."""
+    """Run the program ``primrosewood-load``."""
     fire.Fire(LoadTool(), name='primrosewood-load')
 
 
 def split_urls(urls: str | tuple[str, ...]) -> tuple[str, ...]:
-    """Return the entries that a flag names."""
-    # The command line library makes a tuple of words with commas by itself.
-    parts = urls.split(',') if isinstance(urls, str) else urls
-    return tuple(part.strip().rstrip('/') for part in parts)
+    """Return the URLs in the value of a flag, without trailing slashes."""
+    # Fire may have parsed a value with commas into a tuple.
+    url_list = urls.split(',') if isinstance(urls, str) else urls
+    return tuple(url.strip().rstrip('/') for url in url_list)
 
 
 def run_workload(
-    asked: tuple[str, float, float, int],
+    options: tuple[str, float, float, int],
     make_caller: Callable[[aiohttp.ClientSession], TaskCaller],
     out: str,
 ) -> None:
-    """Send a workload, print what came back, and exit with 1 for a breach.
+    """Send a workload, print a summary of the answers, and exit.
+
+    The exit code is 1 if an answer breaks an invariant.
 
     Parameters
     ----------
-    asked
-        Workload, requests a second, seconds and seed.
+    options
+        Name of the workload, requests per second, seconds and seed.
     make_caller
-        Returns what sends the tasks, over a session that outlives it.
+        Returns the caller that sends the tasks, for a session that is closed
+        after all of them.
     out
-        File for one JSON line for each answer, empty for none.
+        File that gets one JSON line for each answer, empty for none.
     """
-    workload, rate, seconds, seed = asked
+    workload, rate, seconds, seed = options
     tasks = make_tasks(workload, rate, seconds, random.Random(seed))
-    sent = asyncio.run(_send_all(tasks, make_caller))
+    completed = asyncio.run(_send_all(tasks, make_caller))
     if out:
-        _write_lines(Path(out), sent)
-    sys.exit(_report([_to_line(each) for each in sent]))
+        _write_answers(Path(out), completed)
+    sys.exit(_print_summary([_make_answer_line(each) for each in completed]))
 
 
 async def _send_all(
     tasks: list[Task],
     make_caller: Callable[[aiohttp.ClientSession], TaskCaller],
-) -> list[_Sent]:
+) -> list[_CompletedTask]:
     started = time.monotonic()
-    timeout = aiohttp.ClientTimeout(total=_CLIENT_SECONDS)
+    timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_SECONDS)
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(
         timeout=timeout, connector=connector
     ) as session:
         caller = make_caller(session)
         return await asyncio.gather(
-            *(_send_at(started + task.at, caller, task) for task in tasks)
+            *(_send_at_time(started + task.at, caller, task) for task in tasks)
         )
 
 
-async def _send_at(at: float, caller: TaskCaller, task: Task) -> _Sent:
+async def _send_at_time(
+    at: float, caller: TaskCaller, task: Task
+) -> _CompletedTask:
     await asyncio.sleep(max(0, at - time.monotonic()))
-    return _Sent(task, await caller.send(task))
+    return _CompletedTask(task, await caller.send(task))
 
 
-def _to_line(sent: _Sent) -> Line:
-    answer = sent.answer
+def _make_answer_line(completed: _CompletedTask) -> AnswerLine:
+    answer = completed.answer
     record = AnswerRecord(
-        request=sent.task.name,
+        request=completed.task.name,
         tokens=tuple(answer.tokens),
         complete=answer.complete,
         kind=answer.error,
     )
-    return Line(
-        kind=sent.task.kind.name,
+    return AnswerLine(
+        kind=completed.task.kind.name,
         status=answer.status,
         error=answer.error,
         ran=answer.ran,
@@ -186,38 +217,38 @@
     )
 
 
-def _write_lines(file: Path, sent: list[_Sent]) -> None:
-    lines = [msgspec.json.encode(_to_line(each)) for each in sent]
+def _write_answers(file: Path, completed: list[_CompletedTask]) -> None:
+    lines = [msgspec.json.encode(_make_answer_line(each)) for each in completed]
     file.write_bytes(b'\n'.join(lines))
 
 
-def _report(lines: list[Line]) -> int:
-    """Print a line for each kind of request; return the exit code."""
+def _print_summary(lines: list[AnswerLine]) -> int:
+    """Print a line for each kind of request and return the exit code."""
     faults = [fault for line in lines for fault in line.faults]
     for kind in sorted({line.kind for line in lines}):
-        _report_kind(kind, [line for line in lines if line.kind == kind])
+        _print_kind_summary(kind, [line for line in lines if line.kind == kind])
     for fault in faults:
         sys.stdout.write(f'fault="{fault}"\n')
     sys.stdout.write(f'requests={len(lines)} faults={len(faults)}\n')
-    return _BROKEN if faults else 0
+    return _EXIT_FAULTS_FOUND if faults else 0
 
 
-def _report_kind(kind: str, lines: list[Line]) -> None:
+def _print_kind_summary(kind: str, lines: list[AnswerLine]) -> None:
     errors = Counter(line.error for line in lines if line.error)
-    pairs = {
+    fields = {
         'kind': kind,
         'requests': len(lines),
         'whole': len(lines) - errors.total(),
         'tokens': sum(line.tokens for line in lines),
         'errors': ','.join(f'{name}:{errors[name]}' for name in errors),
     }
-    good = [line for line in lines if not line.error]
+    successful = [line for line in lines if not line.error]
     for measure in ('first_token', 'largest_gap', 'seconds'):
-        durations = Percentiles()
-        for line in good:
-            durations.record(getattr(line, measure))
+        histogram = DurationHistogram()
+        for line in successful:
+            histogram.record(getattr(line, measure))
         for percentile in _PERCENTILES:
-            name = f'{measure}_p{percentile}'
-            pairs[name] = round(durations.read(percentile), 4)
-    shown = ' '.join(f'{name}={pair}' for name, pair in pairs.items())
-    sys.stdout.write(f'{shown}\n')
+            key = f'{measure}_p{percentile}'
+            fields[key] = round(histogram.percentile(percentile), 4)
+    text = ' '.join(f'{key}={value}' for key, value in fields.items())
+    sys.stdout.write(f'{text}\n')
--- a/primrosewood/metrics.py
+++ b/primrosewood/metrics.py
@@ -1,4 +1,7 @@
-"""Counters, gauges and percentiles of a process, and their exposition."""
+"""Counters, gauges and duration histograms of a process.
+
+They are exposed in the text format of Prometheus.
+"""
 
 from collections.abc import Callable, Iterator
 
@@ -6,62 +9,75 @@
 from prometheus_client import CollectorRegistry, Counter, generate_latest
 from prometheus_client.core import GaugeMetricFamily, SummaryMetricFamily
 
-__all__ = ('Metrics', 'Percentiles')
+__all__ = ('DurationHistogram', 'Metrics')
 
-_LOWEST_MICROSECONDS = 1
-_HIGHEST_MICROSECONDS = 3_600_000_000
-_DIGITS = 2
-_MICROSECONDS = 1_000_000
-_SHOWN = (50, 95, 99, 99.9)
+_MIN_MICROSECONDS = 1
+_MAX_MICROSECONDS = 3_600_000_000
+_SIGNIFICANT_DIGITS = 2
+_MICROSECONDS_PER_SECOND = 1_000_000
+_EXPOSED_PERCENTILES = (50, 95, 99, 99.9)
 
 
-class Percentiles:
-    """Durations of one kind, kept in a histogram of fixed size."""
+class DurationHistogram:
+    """Histogram of durations; its size does not grow with their number."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start with an empty histogram."""
         self._histogram = HdrHistogram(
-            _LOWEST_MICROSECONDS, _HIGHEST_MICROSECONDS, _DIGITS
+            _MIN_MICROSECONDS, _MAX_MICROSECONDS, _SIGNIFICANT_DIGITS
         )
-        self._sum = 0.0
+        self._total_seconds = 0.0
 
     @property
     def count(self) -> int:
-        """Number of durations recorded."""
+        """Number of recorded durations."""
         return self._histogram.get_total_count()
 
     @property
     def total(self) -> float:
-        """Sum of the durations in seconds."""
-        return self._sum
+        """Sum of the recorded durations in seconds."""
+        return self._total_seconds
 
     def record(self, seconds: float) -> None:
-        """Add a duration."""
-        self._sum += seconds
-        self._histogram.record_value(max(1, int(seconds * _MICROSECONDS)))
+        """Record a duration."""
+        self._total_seconds += seconds
+        self._histogram.record_value(
+            max(1, int(seconds * _MICROSECONDS_PER_SECOND))
+        )
 
-    def read(self, percentile: float) -> float:
+    def percentile(self, percent: float) -> float:
         """Return a percentile in seconds, 0 when nothing was recorded."""
-        found = self._histogram.get_value_at_percentile(percentile)
-        return found / _MICROSECONDS
+        microseconds = self._histogram.get_value_at_percentile(percent)
+        return microseconds / _MICROSECONDS_PER_SECOND
 
 
 class Metrics:
     """All metrics of one process.
 
-    Names are made on first use, so that a module need not declare them.
+    Counters and histograms are created on first use, so that a module need not
+    declare them.
     """
 
     def __init__(self) -> None:
         """Start with an empty registry."""
         self._registry = CollectorRegistry()
         self._counters: dict[str, Counter] = {}
-        self._durations: dict[str, Percentiles] = {}
-        self._gauges: dict[str, Callable[[], float]] = {}
+        self._histograms: dict[str, DurationHistogram] = {}
+        self._gauge_readers: dict[str, Callable[[], float]] = {}
         self._registry.register(self)
 
     def count(self, name: str, reason: str = '', amount: float = 1) -> None:
-        """Add to the counter ``primrosewood_{name}``."""
+        """Add to the counter ``primrosewood_{name}``.
+
+        Parameters
+        ----------
+        name
+            Name of the counter without its prefix.
+        reason
+            Value of the label ``reason``.
+        amount
+            Increment of the counter.
+        """
         counter = self._counters.get(name)
         if counter is None:
             counter = Counter(
@@ -74,38 +90,40 @@
         counter.labels(reason).inc(amount)
 
     def record(self, name: str, seconds: float) -> None:
-        """Add a duration to the percentiles of ``name``."""
-        durations = self._durations.get(name)
-        if durations is None:
-            durations = self._durations.setdefault(name, Percentiles())
-        durations.record(seconds)
+        """Record a duration in the histogram ``name``."""
+        histogram = self._histograms.get(name)
+        if histogram is None:
+            histogram = self._histograms.setdefault(name, DurationHistogram())
+        histogram.record(seconds)
 
     def watch(self, name: str, read: Callable[[], float]) -> None:
-        """Expose a gauge that is read whenever metrics are asked for."""
-        self._gauges[name] = read
+        """Register a gauge; ``read`` returns its value at each exposition."""
+        self._gauge_readers[name] = read
 
     def collect(self) -> Iterator[SummaryMetricFamily | GaugeMetricFamily]:
-        """Yield gauges and percentiles for the exposition."""
-        for name, read in self._gauges.items():
+        """Yield gauges and histograms; the registry calls this method."""
+        for name, read in self._gauge_readers.items():
             yield GaugeMetricFamily(f'primrosewood_{name}', name, value=read())
-        for name, durations in self._durations.items():
-            yield from _expose(name, durations)
+        for name, histogram in self._histograms.items():
+            yield from _collect_histogram(name, histogram)
 
     def expose(self) -> bytes:
-        """Return the text exposition of all metrics."""
+        """Return all metrics in the text format of Prometheus."""
         return generate_latest(self._registry)
 
 
-def _expose(name: str, durations: Percentiles) -> Iterator[GaugeMetricFamily]:
+def _collect_histogram(
+    name: str, histogram: DurationHistogram
+) -> Iterator[GaugeMetricFamily]:
     family = GaugeMetricFamily(
         f'primrosewood_{name}_seconds', name, labels=['percentile']
     )
-    for percentile in _SHOWN:
-        family.add_metric([str(percentile)], durations.read(percentile))
+    for percentile in _EXPOSED_PERCENTILES:
+        family.add_metric([str(percentile)], histogram.percentile(percentile))
     yield family
     yield SummaryMetricFamily(
         f'primrosewood_{name}_duration_seconds',
         name,
-        count_value=durations.count,
-        sum_value=durations.total,
+        count_value=histogram.count,
+        sum_value=histogram.total,
     )
--- a/primrosewood/workloads.py
+++ b/primrosewood/workloads.py
@@ -1,4 +1,4 @@
-"""Workloads after the users' own: what is asked, how often, how long."""
+"""Workloads modelled on those of users: kinds, rates, lengths of requests."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,28 +9,32 @@
 
 __all__ = ('Kind', 'Task', 'make_tasks', 'workload_names')
 
-_LONGEST = 30_000
-_NAME_BITS = 48
+_MAX_LENGTH_TOKENS = 30_000
+_NAME_RANDOM_BITS = 48
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of request.
+    """A kind of request in a workload.
 
     Attributes
     ----------
+    name
+        Name of the kind.
     weight
-        How often it is asked, relative to the workload's other kinds.
+        Frequency relative to the workload's other kinds.
     middle, spread
-        Median length in tokens, and the spread of its logarithm.
+        Parameters of the log-normal distribution of lengths: median in tokens,
+        and standard deviation of the logarithm.
     streamed
-        Whether somebody reads while it is made.
+        Whether the answer is streamed.
     path
-        Path below ``/services/`` for a call to a plain service.
+        Path below ``/services/`` of a call to a plain service, empty for a
+        generation.
     method
         HTTP method of such a call.
     keyed
-        Whether it carries an idempotency key.
+        Whether the request has an idempotency key.
     """
 
     name: str
@@ -45,7 +49,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """One request of a workload; ``at`` is seconds from the start."""
+    """One request of a workload.
+
+    Attributes
+    ----------
+    name
+        Unique name of the request.
+    kind
+        Kind of the request.
+    at
+        Seconds from the start of the workload to the arrival.
+    length
+        Length of the answer in tokens.
+    """
 
     name: str
     kind: Kind
@@ -54,25 +70,27 @@
 
 
 def workload_names() -> list[str]:
-    """Return the names of the workloads."""
+    """Return the sorted names of the workloads."""
     return sorted(_read_workloads())
 
 
 def make_tasks(
     workload: str, rate: float, seconds: float, random: Random
 ) -> list[Task]:
-    """Return a workload's requests in the order of their arrival.
+    """Return the requests of a workload in order of arrival.
+
+    Arrivals form a Poisson process.
 
     Parameters
     ----------
     workload
         Name of the workload.
     rate
-        Mean arrivals a second.
+        Mean number of arrivals per second.
     seconds
-        Length of the workload.
+        Duration of the workload.
     random
-        Decides times, kinds and lengths.
+        Source of times, kinds, lengths and names.
     """
     kinds = _read_workloads()[workload]
     tasks = []
@@ -91,6 +109,6 @@
 def _make_task(at: float, kinds: Sequence[Kind], random: Random) -> Task:
     weights = [kind.weight for kind in kinds]
     kind = random.choices(kinds, weights)[0]
-    drawn = kind.middle * random.lognormvariate(0, kind.spread)
-    name = f'{kind.name}-{random.getrandbits(_NAME_BITS):x}'
-    return Task(name, kind, at, max(1, min(_LONGEST, int(drawn))))
+    length = kind.middle * random.lognormvariate(0, kind.spread)
+    name = f'{kind.name}-{random.getrandbits(_NAME_RANDOM_BITS):x}'
+    return Task(name, kind, at, max(1, min(_MAX_LENGTH_TOKENS, int(length))))
