--- a/primrosewood/caller.py
+++ b/primrosewood/caller.py
@@ -1,4 +1,4 @@
-"""Client of entries that resumes streams and retries as their errors allow."""
+"""HTTP client of entries; resumes streams and retries as errors allow."""
 
 import asyncio
 import time
--- a/primrosewood/invariants.py
+++ b/primrosewood/invariants.py
@@ -15,9 +15,9 @@
     'RunRecord',
     'SettingRecord',
     'check_history',
-    'check_out_of_service',
-    'check_not_run',
     'check_idempotency_keys',
+    'check_not_run',
+    'check_out_of_service',
     'check_settings',
     'check_tokens',
 )
--- a/primrosewood/load.py
+++ b/primrosewood/load.py
@@ -118,7 +118,7 @@
     seconds
         Seconds from the first attempt to the end of the last one.
     faults
-        Invariants that the answer breaks.
+        Messages about invariants that the answer breaks.
     """
 
     kind: str
