--- a/primrosewood/backendset.py
+++ b/primrosewood/backendset.py
@@ -254,6 +254,7 @@
     entries: EntryCount
     evacuated: frozenset[str] = frozenset()
     _backends: dict[str, Backend] = field(default_factory=dict)
+    # Names whose records vanished around an outage; see `remove`.
     _missing: set[str] = field(default_factory=set)
     _removed_names: OrderedDict[str, None] = field(default_factory=OrderedDict)
     _restored_at: dict[str, float] = field(default_factory=dict)
--- a/primrosewood/enginepace.py
+++ b/primrosewood/enginepace.py
@@ -27,8 +27,8 @@
 _DECAY = 0.975
 # Weight of the newest call in the prompt rate: about the last 20 calls count.
 _PROMPT_RATE_WEIGHT = 0.05
-_MIN_PROMPT_RATE = 500
-_MAX_PROMPT_RATE = 200_000
+_MIN_PROMPT_TOKENS_PER_SECOND = 500
+_MAX_PROMPT_TOKENS_PER_SECOND = 200_000
 
 
 class TokenTimeEstimator:
@@ -108,7 +108,8 @@
         if tokens <= 0 or seconds <= 0:
             return
         measured = min(
-            _MAX_PROMPT_RATE, max(_MIN_PROMPT_RATE, tokens / seconds)
+            _MAX_PROMPT_TOKENS_PER_SECOND,
+            max(_MIN_PROMPT_TOKENS_PER_SECOND, tokens / seconds),
         )
         self.tokens_per_second += _PROMPT_RATE_WEIGHT * (
             measured - self.tokens_per_second
--- a/primrosewood/shares.py
+++ b/primrosewood/shares.py
@@ -32,7 +32,7 @@
 _MAX_HELD_TOKENS = 3.0
 _MIN_BURST_TOKENS = 1 + _MAX_HELD_TOKENS
 # Calls per second that probe whether a limit near zero is still in force.
-_MIN_RATE = 0.1
+_MIN_CALLS_PER_SECOND = 0.1
 
 
 class EntryCount:
@@ -234,4 +234,4 @@
         self._filled_at = now
 
     def _refill_rate(self) -> float:
-        return max(_MIN_RATE, self._rate)
+        return max(_MIN_CALLS_PER_SECOND, self._rate)
--- a/tests/test_enginepace.py
+++ b/tests/test_enginepace.py
@@ -16,34 +16,34 @@
 
     def test_converges_to_the_measured_time(self):
         """20 samples per second, 4 tokens per event, 10 ms per token."""
-        pace = TokenTimeEstimator()
+        estimator = TokenTimeEstimator()
         for step in range(200):
             produced = step * 5 // 4 * 4
             runs = [EngineRun(name, 3000 + produced, 1) for name in ('a', 'b')]
-            pace.observe(runs, step / 20)
-        self.assertAlmostEqual(0.01, pace.seconds, delta=0.001)
+            estimator.observe(runs, step / 20)
+        self.assertAlmostEqual(0.01, estimator.seconds, delta=0.001)
 
     def test_no_estimate_for_an_idle_engine(self):
-        pace = TokenTimeEstimator()
-        pace.observe([], 0)
-        pace.observe([EngineRun('a', 3000, 1)], 0.05)
-        self.assertEqual(0, pace.seconds)
+        estimator = TokenTimeEstimator()
+        estimator.observe([], 0)
+        estimator.observe([EngineRun('a', 3000, 1)], 0.05)
+        self.assertEqual(0, estimator.seconds)
 
 
 class PromptRateEstimatorTest(unittest.TestCase):
     """Prefill rate of a service's engines."""
 
     def test_converges_to_the_measured_rate(self):
-        pace = PromptRateEstimator()
+        estimator = PromptRateEstimator()
         for _ in range(100):
-            pace.observe(7000, 1.0)
-        self.assertAlmostEqual(7000, pace.tokens_per_second, delta=100)
+            estimator.observe(7000, 1.0)
+        self.assertAlmostEqual(7000, estimator.tokens_per_second, delta=100)
 
     def test_one_stalled_call_does_not_change_it_much(self):
-        pace = PromptRateEstimator()
-        pace.observe(3000, 600)
+        estimator = PromptRateEstimator()
+        estimator.observe(3000, 600)
         self.assertGreater(
-            pace.tokens_per_second, PROMPT_TOKENS_PER_SECOND * 0.9
+            estimator.tokens_per_second, PROMPT_TOKENS_PER_SECOND * 0.9
         )
 
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -27,7 +27,7 @@
         ),
     )
     def test_sum_over_entries_stays_in_bounds(self, entries, steps):
-        """Entries that do not communicate keep the sum of their retries."""
+        """Retries stay within the limit without messages between entries."""
         count = EntryCount(entries)
         budgets = [RepeatBudget(RULE, count) for _ in range(entries)]
         now = 0.0
