--- a/bench/herd.py
+++ b/bench/herd.py
@@ -19,7 +19,7 @@
     ReservedTokens,
 )
 from primrosewood.directcalls import BackendAttempt
-from primrosewood.enginereports import EngineReports, read_report
+from primrosewood.enginereports import EngineReports, state_from_report
 from primrosewood.shares import ColdLimit, EntryCount
 
 from .lines import Line
@@ -309,13 +309,13 @@
             due = engine.reports.is_due(report, now)
         if due:
             engine.told_at = now
-            engine.reports.note_told(report, now)
+            engine.reports.record_sent(report, now)
             self._figures.messages += len(self._views)
             self._at(now + _LINK_SECONDS, self._hear, engine, report)
 
     def _hear(self, now: float, engine: _Engine, report) -> None:
         number = self._engines.index(engine)
-        state = read_report(report)
+        state = state_from_report(report)
         for view in self._views:
             view[number].update_state(state, now)
 
--- a/primrosewood/platform/entry.py
+++ b/primrosewood/platform/entry.py
@@ -26,7 +26,7 @@
 from ..link import Link
 from ..logs import log_event
 from ..metrics import Metrics
-from ..moves import NoticeBoard
+from ..moves import MoveNotices
 from ..peerlink import LinkIdentity, PeerServer
 from ..process import spawn
 from ..relay import Relay, RelayDependencies
@@ -35,7 +35,7 @@
 from ..shares import EntryCount, RepeatRule
 from ..stopping import StopWindow
 from ..storeview import StoreView
-from ..unsent import has_unsent
+from ..unsent import has_unsent_data
 from .beliefs import Beliefs
 from .engines import HttpTransport
 from .front import Front, answer_ready
@@ -70,7 +70,7 @@
         self._tables = TableHolder()
         self._entries = EntryCount(_ASSUMED_ENTRIES)
         self._backends = BackendSet(self._entries)
-        self._notices = NoticeBoard()
+        self._notices = MoveNotices()
         self._store = PlatformStore(settings.store, _STORE_SECONDS)
         self._engines = EngineView(
             backends=self._backends,
@@ -97,18 +97,18 @@
         )
         self._reader = SharedReader(
             name=settings.name,
-            view=StoreView(self._store, _EVERYTHING, self._beliefs.take_pair),
+            view=StoreView(self._store, _EVERYTHING, self._beliefs.apply_pair),
             clock=self._clock,
             random=make_random(),
             send=self._engines.send_to_one,
-            note_answered=self._beliefs.record_store_result,
+            report_available=self._beliefs.record_store_result,
         )
         self._stop = StopWindow(
             settings.limits.stop_seconds - _CLOSE_SECONDS, _NOTICED_SECONDS
         )
         self._front = self._make_front()
         self._peers = PeerServer(
-            settings.link_key, self._engines.take_announcement
+            settings.link_key, self._engines.handle_announcement
         )
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -184,7 +184,7 @@
 
     def _hear(self, message: Message, link: Link) -> None:
         if isinstance(message, wire.LimitTold):
-            self._limits.take_told(message)
+            self._limits.merge_from_peer(message)
         else:
             self._reader.handle(message, link)
 
@@ -229,7 +229,7 @@
 
     async def _wait_answered(self, callers: web.ServerRunner) -> None:
         release_connections(callers)
-        while self._front.active or has_unsent(callers):
+        while self._front.active or has_unsent_data(callers):
             await asyncio.sleep(_TICK_SECONDS)
             release_connections(callers)
 
--- a/primrosewood/relay.py
+++ b/primrosewood/relay.py
@@ -28,7 +28,7 @@
 from .loglines import STOPPED
 from .logs import log_decision
 from .metrics import Metrics
-from .moves import MoveNotice, NoticeBoard
+from .moves import MoveNotice, MoveNotices
 from .timers import TimerGroup
 
 __all__ = ('Relay', 'RelayDependencies')
@@ -57,7 +57,7 @@
     """Collaborators of `Relay`."""
 
     placement: CallPlacement
-    notices: NoticeBoard
+    notices: MoveNotices
     transport: Transport
     clock: Clock
     metrics: Metrics
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -24,7 +24,7 @@
     RequestFailedError,
 )
 from primrosewood.metrics import Metrics
-from primrosewood.moves import MoveNotice, NoticeBoard
+from primrosewood.moves import MoveNotice, MoveNotices
 from primrosewood.relay import Relay, RelayDependencies
 from primrosewood.routes import (
     EngineTraits,
@@ -107,7 +107,7 @@
         for name in ('e1', 'e2', 'e3'):
             record = BackendRecord(name, 's', f'{name}:80', 'd1', 8)
             self.backends.take(record, self.clock.monotonic())
-        self.notices = NoticeBoard()
+        self.notices = MoveNotices()
         self.transport = ScriptedTransport()
         self.sink = Sink()
         placement = CallPlacement(
