--- a/primrosewood/etcd.py
+++ b/primrosewood/etcd.py
@@ -1,4 +1,4 @@
-"""Key-value service over the JSON gateway of the etcd v3 protocol."""
+"""Client of the key-value service through etcd's v3 JSON gateway."""
 
 import asyncio
 import base64
@@ -11,126 +11,131 @@
 from .errors import StoreUnavailableError
 from .kv import Change, KeyValue, Listing, Pair, Swap
 
-__all__ = ('EtcdKeyValue', 'decode_text', 'encode_text', 'end_of_prefix')
+__all__ = ('EtcdKeyValue', 'decode_text', 'encode_text', 'prefix_range_end')
 
-_LONGEST_WATCH_LINE = 8_388_608
+_MAX_WATCH_LINE_BYTES = 8_388_608
 
 
 def encode_text(text: str | bytes) -> str:
-    """Return bytes as the gateway writes them."""
+    """Return text or bytes as base64, as the gateway's fields hold them."""
     raw = text.encode() if isinstance(text, str) else text
     return base64.b64encode(raw).decode()
 
 
 def decode_text(text: str) -> bytes:
-    """Return the bytes behind a field of the gateway."""
+    """Return the bytes of a base64 field of the gateway."""
     return base64.b64decode(text)
 
 
-def end_of_prefix(prefix: str) -> str:
-    """Return the key that ends the range of a prefix."""
-    *kept, last = prefix
-    return ''.join((*kept, chr(ord(last) + 1)))
+def prefix_range_end(prefix: str) -> str:
+    """Return the exclusive end of the key range that a prefix covers."""
+    *head, last = prefix
+    return ''.join((*head, chr(ord(last) + 1)))
 
 
 class EtcdKeyValue(KeyValue):
-    """The platform's service, reached over HTTP.
+    """An etcd cluster, reached over HTTP.
 
     Parameters
     ----------
     url
         Base URL of the gateway.
     timeout
-        Seconds after which a call counts as unanswered.
+        Seconds after which a call fails as unanswered. Watches have no
+        limit.
     """
 
     def __init__(self, url: str, timeout: float) -> None:
-        """Connect on the first call."""
+        """Create a client that connects on its first call."""
         self._url = url.rstrip('/')
         self._timeout = aiohttp.ClientTimeout(total=timeout)
-        self._lazy_session: aiohttp.ClientSession | None = None
+        self._cached_session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
         """Close the connections."""
-        if self._lazy_session is not None:
-            await self._lazy_session.close()
+        if self._cached_session is not None:
+            await self._cached_session.close()
 
     async def fetch(self, key: str) -> Pair | None:
         """Return the pair of a key, None when absent."""
-        found = await self._call('kv/range', {'key': encode_text(key)})
-        return next(iter(_to_pairs(found)), None)
+        reply = await self._call('kv/range', {'key': encode_text(key)})
+        return next(iter(_parse_pairs(reply)), None)
 
     async def list_pairs(self, prefix: str, since: int = 0) -> list[Pair]:
-        """Return pairs below a prefix, written at ``since`` or later."""
-        query = _below(prefix)
+        """Return the pairs below a prefix with revision ``since`` or later."""
+        query = _prefix_range(prefix)
         if since:
             query['min_mod_revision'] = str(since)
-        return _to_pairs(await self._call('kv/range', query))
+        return _parse_pairs(await self._call('kv/range', query))
 
     async def list_all(self, prefix: str) -> Listing:
-        """Return all pairs below a prefix."""
-        found = await self._call('kv/range', _below(prefix))
-        return Listing(_to_pairs(found), _revision(found))
+        """Return all pairs below a prefix, with the revision of the service."""
+        reply = await self._call('kv/range', _prefix_range(prefix))
+        return Listing(_parse_pairs(reply), _header_revision(reply))
 
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
     ) -> Swap:
-        """Write when the key's revision is ``expected`` (0 for absent)."""
+        """Write if the key is at revision ``expected`` (0 if absent)."""
         query = {
-            'compare': [_compare(key, expected)],
-            'success': [{'request_put': _put(key, stored, lease)}],
+            'compare': [_make_compare(key, expected)],
+            'success': [{'request_put': _make_put(key, stored, lease)}],
             'failure': [{'request_range': {'key': encode_text(key)}}],
         }
-        answer = await self._call('kv/txn', query)
-        if answer.get('succeeded'):
-            return Swap(swapped=True, revision=_revision(answer))
-        found = answer['responses'][0]['response_range']
-        return Swap(swapped=False, current=next(iter(_to_pairs(found)), None))
+        reply = await self._call('kv/txn', query)
+        if reply.get('succeeded'):
+            return Swap(swapped=True, revision=_header_revision(reply))
+        range_reply = reply['responses'][0]['response_range']
+        return Swap(
+            swapped=False, current=next(iter(_parse_pairs(range_reply)), None)
+        )
 
     async def put(self, key: str, stored: bytes, lease: int = 0) -> int:
-        """Write whatever stands there and return the revision."""
-        return _revision(await self._call('kv/put', _put(key, stored, lease)))
+        """Write unconditionally and return the new revision."""
+        return _header_revision(
+            await self._call('kv/put', _make_put(key, stored, lease))
+        )
 
     async def grant(self, seconds: int) -> int:
-        """Return a new lease."""
-        answer = await self._call('lease/grant', {'TTL': str(seconds)})
-        return int(answer['ID'])
+        """Create a lease that lasts so many seconds and return its ID."""
+        reply = await self._call('lease/grant', {'TTL': str(seconds)})
+        return int(reply['ID'])
 
     async def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; False when it has lapsed."""
-        answer = await self._call('lease/keepalive', {'ID': str(lease)})
-        return int(answer.get('result', {}).get('TTL', 0)) > 0
+        """Renew a lease; return False if it has expired."""
+        reply = await self._call('lease/keepalive', {'ID': str(lease)})
+        return int(reply.get('result', {}).get('TTL', 0)) > 0
 
     async def revoke(self, lease: int) -> None:
-        """End a lease and delete what was written under it."""
+        """Revoke a lease and delete the keys attached to it."""
         await self._call('lease/revoke', {'ID': str(lease)})
 
     async def watch(self, prefix: str, since: int) -> AsyncIterator[Change]:
-        """Yield changes below a prefix from a revision on, until cut off."""
+        """Yield changes from a revision on, until the connection is lost."""
         request = {
             'create_request': {
                 'key': encode_text(prefix),
-                'range_end': encode_text(end_of_prefix(prefix)),
+                'range_end': encode_text(prefix_range_end(prefix)),
                 'start_revision': str(since),
             }
         }
-        forever = aiohttp.ClientTimeout(total=None, sock_connect=1)
+        no_total_timeout = aiohttp.ClientTimeout(total=None, sock_connect=1)
         try:
             async with self._session().post(
-                f'{self._url}/v3/watch', json=request, timeout=forever
+                f'{self._url}/v3/watch', json=request, timeout=no_total_timeout
             ) as response:
-                async for change in _read_watch(response):
+                async for change in _read_watch_events(response):
                     yield change
-        except _UNANSWERED as error:
+        except _TRANSPORT_ERRORS as error:
             raise StoreUnavailableError(type(error).__name__) from error
         raise StoreUnavailableError('the watch ended')
 
     def _session(self) -> aiohttp.ClientSession:
-        if self._lazy_session is None:
-            self._lazy_session = aiohttp.ClientSession(
-                read_bufsize=_LONGEST_WATCH_LINE
+        if self._cached_session is None:
+            self._cached_session = aiohttp.ClientSession(
+                read_bufsize=_MAX_WATCH_LINE_BYTES
             )
-        return self._lazy_session
+        return self._cached_session
 
     async def _call(self, path: str, query: Any) -> Any:
         try:
@@ -141,11 +146,11 @@
                 if response.status != aiohttp.http.HTTPStatus.OK:
                     raise StoreUnavailableError(f'status {response.status}')
                 return msgspec.json.decode(body)
-        except _UNANSWERED as error:
+        except _TRANSPORT_ERRORS as error:
             raise StoreUnavailableError(type(error).__name__) from error
 
 
-_UNANSWERED = (
+_TRANSPORT_ERRORS = (
     aiohttp.ClientError,
     asyncio.TimeoutError,
     OSError,
@@ -153,7 +158,7 @@
 )
 
 
-async def _read_watch(
+async def _read_watch_events(
     response: aiohttp.ClientResponse,
 ) -> AsyncIterator[Change]:
     async for line in response.content:
@@ -161,28 +166,28 @@
             continue
         result = msgspec.json.decode(line).get('result', {})
         for event in result.get('events', ()):
-            yield _to_change(event)
+            yield _parse_change(event)
 
 
-def _to_change(event: Any) -> Change:
-    pair = _to_pair(event['kv'])
+def _parse_change(event: Any) -> Change:
+    pair = _parse_pair(event['kv'])
     if event.get('type') == 'DELETE':
         return Change(pair.key, pair.revision, None)
     return Change(pair.key, pair.revision, pair)
 
 
-def _below(prefix: str) -> dict[str, str]:
+def _prefix_range(prefix: str) -> dict[str, str]:
     return {
         'key': encode_text(prefix),
-        'range_end': encode_text(end_of_prefix(prefix)),
+        'range_end': encode_text(prefix_range_end(prefix)),
     }
 
 
-def _to_pairs(answer: Any) -> list[Pair]:
-    return [_to_pair(fields) for fields in answer.get('kvs', ())]
+def _parse_pairs(reply: Any) -> list[Pair]:
+    return [_parse_pair(fields) for fields in reply.get('kvs', ())]
 
 
-def _to_pair(fields: Any) -> Pair:
+def _parse_pair(fields: Any) -> Pair:
     return Pair(
         key=decode_text(fields['key']).decode(),
         stored=decode_text(fields.get('value', '')),
@@ -190,11 +195,11 @@
     )
 
 
-def _revision(answer: Any) -> int:
-    return int(answer['header']['revision'])
+def _header_revision(reply: Any) -> int:
+    return int(reply['header']['revision'])
 
 
-def _compare(key: str, expected: int) -> dict[str, str]:
+def _make_compare(key: str, expected: int) -> dict[str, str]:
     return {
         'key': encode_text(key),
         'target': 'MOD',
@@ -203,7 +208,7 @@
     }
 
 
-def _put(key: str, stored: bytes, lease: int) -> dict[str, str]:
+def _make_put(key: str, stored: bytes, lease: int) -> dict[str, str]:
     return {
         'key': encode_text(key),
         'value': encode_text(stored),
--- a/primrosewood/kv.py
+++ b/primrosewood/kv.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service, as the system uses it."""
+"""Interface of the key-value service, and an implementation in memory."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -39,7 +39,7 @@
     revision
         Revision of the write, 0 when it did not take effect.
     current
-        The pair that stood in the way, None when the key was absent.
+        The stored pair that did not match, None when the key was absent.
     """
 
     swapped: bool
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A watched change; ``pair`` is None for a deletion."""
+    """A write or deletion of a key; ``pair`` is None for a deletion."""
 
     key: str
     revision: int
@@ -62,9 +62,11 @@
 
     Attributes
     ----------
+    pairs
+        All pairs below the prefix.
     revision
-        Of the service when the listing began: a watch from the next one on
-        misses nothing.
+        Revision of the service when the listing began. A watch that starts at
+        the next revision misses no change.
     """
 
     pairs: list[Pair]
@@ -73,12 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What changed below a prefix.
+    """The changes below a prefix after a given revision.
 
     Attributes
     ----------
+    changes
+        The changes, in order of revision.
     revision
-        Of the service, up to which these are all changes.
+        Revision of the service up to which the changes are complete.
     """
 
     changes: list[Change]
@@ -86,10 +90,10 @@
 
 
 class KeyValue(ABC):
-    """Compare-and-swap, leases and watches.
+    """A key-value service with compare-and-swap, leases and watches.
 
     Every method raises :class:`~.errors.StoreUnavailableError` when the
-    service does not answer; a write may have taken effect all the same.
+    service does not answer. A write that raises it may have taken effect.
     """
 
     @abstractmethod
@@ -98,19 +102,27 @@
 
     @abstractmethod
     async def list_pairs(self, prefix: str, since: int = 0) -> list[Pair]:
-        """Return pairs below a prefix, written at ``since`` or later."""
+        """Return the pairs below a prefix with revision ``since`` or later."""
 
     @abstractmethod
     async def list_all(self, prefix: str) -> Listing:
-        """Return all pairs below a prefix."""
+        """Return all pairs below a prefix, with the revision of the service."""
 
     async def list_changes(self, prefix: str, known: int) -> Changes:
-        """Return at once what changed below a prefix after a revision.
+        """Return the changes below a prefix after a revision, without waiting.
+
+        Parameters
+        ----------
+        prefix
+            Prefix of the keys.
+        known
+            Revision after which changes are returned.
 
         Raises
         ------
         HistoryLostError
-            The service has no such list, or none back to that revision.
+            The service cannot list changes, or its history does not reach
+            back to that revision.
         """
         raise HistoryLostError('the service lists no changes')
 
@@ -118,32 +130,32 @@
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
     ) -> Swap:
-        """Write when the key's revision is ``expected`` (0 for absent)."""
+        """Write if the key is at revision ``expected`` (0 if absent)."""
 
     @abstractmethod
     async def put(self, key: str, stored: bytes, lease: int = 0) -> int:
-        """Write whatever stands there and return the revision."""
+        """Write unconditionally and return the new revision."""
 
     @abstractmethod
     async def grant(self, seconds: int) -> int:
-        """Return a new lease."""
+        """Create a lease that lasts so many seconds and return its ID."""
 
     @abstractmethod
     async def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; False when it has lapsed."""
+        """Renew a lease; return False if it has expired."""
 
     @abstractmethod
     async def revoke(self, lease: int) -> None:
-        """End a lease and delete what was written under it."""
+        """Revoke a lease and delete the keys attached to it."""
 
     @abstractmethod
     def watch(self, prefix: str, since: int) -> AsyncIterator[Change]:
-        """Yield changes below a prefix from a revision on, until cut off.
+        """Yield changes from a revision on, until the connection is lost.
 
         Raises
         ------
         HistoryLostError
-            The service no longer has the changes since that revision.
+            The service no longer has the changes from that revision on.
         """
 
 
@@ -154,21 +166,27 @@
 
 
 class MemoryKeyValue(KeyValue):
-    """The same service in memory: for tests and behind the stand-in."""
+    """Key-value service in memory, for tests and for the stand-ins."""
 
     def __init__(self, clock: Clock | None = None) -> None:
-        """Start empty."""
+        """Create an empty service.
+
+        Parameters
+        ----------
+        clock
+            Clock that leases expire by, the system's when None.
+        """
         self._clock = clock or SystemClock()
         self._pairs: dict[str, Pair] = {}
         self._leases: dict[int, _Lease] = {}
-        self._lease_of: dict[str, int] = {}
-        self._log: list[Change] = []
+        self._key_leases: dict[str, int] = {}
+        self._history: list[Change] = []
         self._revision = 0
         self._changed = asyncio.Event()
 
     @property
     def revision(self) -> int:
-        """Revision of the newest write."""
+        """Revision of the latest write or deletion."""
         return self._revision
 
     async def fetch(self, key: str) -> Pair | None:
@@ -177,7 +195,7 @@
         return self._pairs.get(key)
 
     async def list_pairs(self, prefix: str, since: int = 0) -> list[Pair]:
-        """Return pairs below a prefix, written at ``since`` or later."""
+        """Return the pairs below a prefix with revision ``since`` or later."""
         self.expire_leases()
         return [
             pair
@@ -186,16 +204,16 @@
         ]
 
     async def list_all(self, prefix: str) -> Listing:
-        """Return all pairs below a prefix."""
+        """Return all pairs below a prefix, with the revision of the service."""
         revision = self._revision
         return Listing(await self.list_pairs(prefix), revision)
 
     async def list_changes(self, prefix: str, known: int) -> Changes:
-        """Return what changed below a prefix after a revision."""
+        """Return the changes below a prefix after a revision."""
         self.expire_leases()
         changes = [
             change
-            for change in self._log
+            for change in self._history
             if change.revision > known and change.key.startswith(prefix)
         ]
         return Changes(changes, self._revision)
@@ -203,7 +221,7 @@
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
     ) -> Swap:
-        """Write when the key's revision is ``expected`` (0 for absent)."""
+        """Write if the key is at revision ``expected`` (0 if absent)."""
         self.expire_leases()
         current = self._pairs.get(key)
         revision = current.revision if current else 0
@@ -212,72 +230,72 @@
         return Swap(swapped=True, revision=self._write(key, stored, lease))
 
     async def put(self, key: str, stored: bytes, lease: int = 0) -> int:
-        """Write whatever stands there and return the revision."""
+        """Write unconditionally and return the new revision."""
         self.expire_leases()
         return self._write(key, stored, lease)
 
     async def grant(self, seconds: int) -> int:
-        """Return a new lease."""
+        """Create a lease that lasts so many seconds and return its ID."""
         lease = self._revision * 1000 + len(self._leases) + 1
         expires_at = self._clock.monotonic() + seconds
         self._leases[lease] = _Lease(seconds, expires_at)
         return lease
 
     async def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; False when it has lapsed."""
+        """Renew a lease; return False if it has expired."""
         self.expire_leases()
-        held = self._leases.get(lease)
-        if held is None:
+        granted = self._leases.get(lease)
+        if granted is None:
             return False
-        held.expires_at = self._clock.monotonic() + held.seconds
+        granted.expires_at = self._clock.monotonic() + granted.seconds
         return True
 
     async def revoke(self, lease: int) -> None:
-        """End a lease and delete what was written under it."""
+        """Revoke a lease and delete the keys attached to it."""
         self._leases.pop(lease, None)
-        self._delete_leased(lease)
+        self._delete_leased_keys(lease)
 
     async def watch(self, prefix: str, since: int) -> AsyncIterator[Change]:
         """Yield changes below a prefix from a revision on."""
         position = 0
         while True:
             changed = self._changed
-            for change in self._log[position:]:
+            for change in self._history[position:]:
                 position += 1
                 if change.revision >= since and change.key.startswith(prefix):
                     yield change
             await changed.wait()
 
     def expire_leases(self) -> None:
-        """Delete what was written under leases that have lapsed."""
+        """Delete the keys attached to leases that have expired."""
         now = self._clock.monotonic()
-        for lease, held in list(self._leases.items()):
-            if held.expires_at <= now:
+        for lease, granted in list(self._leases.items()):
+            if granted.expires_at <= now:
                 self._leases.pop(lease)
-                self._delete_leased(lease)
+                self._delete_leased_keys(lease)
 
     def delete(self, key: str) -> None:
-        """Delete a key, as its owner's lease or another writer would."""
-        self._lease_of.pop(key, None)
+        """Delete a key, if it exists, and record the deletion."""
+        self._key_leases.pop(key, None)
         if self._pairs.pop(key, None) is not None:
-            self._record(key, None)
+            self._append_change(key, None)
 
-    def _delete_leased(self, lease: int) -> None:
-        for key, owner in list(self._lease_of.items()):
+    def _delete_leased_keys(self, lease: int) -> None:
+        for key, owner in list(self._key_leases.items()):
             if owner == lease:
                 self.delete(key)
 
     def _write(self, key: str, stored: bytes, lease: int) -> int:
         pair = Pair(key, stored, self._revision + 1)
         self._pairs[key] = pair
-        self._lease_of.pop(key, None)
+        self._key_leases.pop(key, None)
         if lease:
-            self._lease_of[key] = lease
-        self._record(key, pair)
+            self._key_leases[key] = lease
+        self._append_change(key, pair)
         return self._revision
 
-    def _record(self, key: str, pair: Pair | None) -> None:
+    def _append_change(self, key: str, pair: Pair | None) -> None:
         self._revision += 1
-        self._log.append(Change(key, self._revision, pair))
+        self._history.append(Change(key, self._revision, pair))
         self._changed.set()
         self._changed = asyncio.Event()
--- a/primrosewood/storeview.py
+++ b/primrosewood/storeview.py
@@ -1,95 +1,102 @@
-"""What a process knows of the keys below a prefix."""
+"""A process's local copy of the keys below a prefix."""
 
 from collections.abc import Callable, Iterable
 
 from .errors import HistoryLostError
 from .kv import Change, KeyValue, Pair
 
-__all__ = ('StoreView', 'Taker')
+__all__ = ('ChangeHandler', 'StoreView')
 
-# Deletions that are remembered against listings from before them.
-_MOST_DELETED = 4096
-# Readings of changes after each listing; a listing needs no history that a
-# service might have lost without a sign.
-_READINGS_A_LISTING = 4
-# Values from this size on are told as a difference, which needs the version
-# before; smaller ones are hardly worth keeping twice.
-_LARGE_BYTES = 4096
+# Deletions kept so that a listing read before them cannot restore the key.
+_MAX_DELETIONS_KEPT = 4096
+# Reads of changes between two full listings. A full listing also finds
+# changes that the service has dropped from its history without an error.
+_READS_PER_LISTING = 4
+# Values of this size or more are sent to peers as a difference from their
+# previous version, which is kept for that; smaller ones are sent whole.
+_LARGE_VALUE_BYTES = 4096
 
-# Told of each change, repeats included; None for a deletion.
-Taker = Callable[[str, Pair | None], None]
+# Called with the key and its pair, None for a deletion. The same change may
+# be reported more than once.
+ChangeHandler = Callable[[str, Pair | None], None]
 
 
 class StoreView:
-    """Keeps what listings, watches and peers bring, newest first.
+    """Local copy of a prefix, fed by listings, watches and peers.
+
+    Where these sources overlap, the highest revision of a key wins.
 
     Parameters
     ----------
     store
         The key-value service.
     prefix
-        What to follow.
-    take
-        Called with each change, repeats included; None for a deletion.
+        Prefix of the keys.
+    on_change
+        Called with each change, possibly more than once; the pair is None
+        for a deletion.
     """
 
-    def __init__(self, store: KeyValue, prefix: str, take: Taker) -> None:
-        """Start without knowledge."""
+    def __init__(
+        self, store: KeyValue, prefix: str, on_change: ChangeHandler
+    ) -> None:
+        """Create an empty view."""
         self._store = store
         self._prefix = prefix
-        self._take = take
+        self._on_change = on_change
         self._known: dict[str, Pair] = {}
         self._deleted: dict[str, int] = {}
-        self._older: dict[str, Pair] = {}
+        self._previous: dict[str, Pair] = {}
         self._newest = 0
-        self._told_newest = 0
-        self._readings_left = 0
+        self._peer_newest = 0
+        self._change_reads_left = 0
 
     @property
     def newest(self) -> int:
-        """Last revision that was heard of, from the service or from peers."""
-        return max(self._newest, self._told_newest)
+        """Highest revision reported by the service or by peers."""
+        return max(self._newest, self._peer_newest)
 
     def find(self, key: str) -> Pair | None:
-        """Return what is known of a key."""
+        """Return the pair of a key, None if it is not known."""
         return self._known.get(key)
 
     def find_older(self, key: str) -> Pair | None:
-        """Return the version before of a key with a large value."""
-        return self._older.get(key)
+        """Return the previous version of a key whose value is large."""
+        return self._previous.get(key)
 
     async def read(self) -> None:
-        """Read what changed since what is known, or everything.
+        """Read the changes since the last read, or list everything.
 
-        A listing carries all routes, which takes seconds on a thin line; what
-        changed is a few records.
+        A full listing carries all routes and takes seconds on a slow network
+        link, whereas the changes are a few records.
         """
-        if self._readings_left <= 0:
+        if self._change_reads_left <= 0:
             await self.list_all()
             return
-        self._readings_left -= 1
+        self._change_reads_left -= 1
         if not await self._read_changes():
             await self.list_all()
 
     async def list_all(self) -> None:
-        """Read everything and report deletions."""
+        """List the whole prefix and report keys that are gone as deleted."""
         before = dict(self._known)
         listing = await self._store.list_all(self._prefix)
-        found = {pair.key for pair in listing.pairs}
+        listed_keys = {pair.key for pair in listing.pairs}
         for pair in listing.pairs:
-            self._report(pair)
+            self._apply_pair(pair)
         for key, pair in before.items():
-            # What the watch brought while the listing was under way is not
-            # in it, and is no deletion.
-            if key not in found and self._known.get(key) is pair:
-                self._report_deleted(key, listing.revision)
-        # A service that has dropped its history refuses to watch from an old
-        # revision, even if nothing below the prefix has changed since.
+            # A key that the watch reported during the listing may be absent
+            # from it without being deleted.
+            if key not in listed_keys and self._known.get(key) is pair:
+                self._apply_deletion(key, listing.revision)
+        # The next watch starts here: a service that has dropped its history
+        # refuses a watch from an older revision, even if nothing below the
+        # prefix has changed since.
         self._newest = max(self._newest, listing.revision)
-        self._readings_left = _READINGS_A_LISTING
+        self._change_reads_left = _READS_PER_LISTING
 
     def changes_since(self, revision: int) -> list[Change]:
-        """Return what is known to have changed after a revision."""
+        """Return the known changes and deletions after a revision."""
         changes = [
             Change(pair.key, pair.revision, pair)
             for pair in self._known.values()
@@ -103,74 +110,76 @@
         return changes
 
     def take_told(self, changes: Iterable[Change], newest: int) -> None:
-        """Take what a peer has read in place of this process.
+        """Apply changes that a peer has read from the service.
 
-        A watch goes on from where the service itself was last heard, not from
-        what was told: a peer may have missed a change.
+        The next watch still starts at the last revision that the service
+        itself reported to this process: the peer may have missed a change.
 
         Parameters
         ----------
         changes
-            What the peer knows to have changed.
+            Changes that the peer knows of.
         newest
-            Last revision that the peer knows.
+            Highest revision that the peer knows of.
         """
         for change in changes:
             self._apply(change)
-        self._told_newest = max(self._told_newest, newest)
+        self._peer_newest = max(self._peer_newest, newest)
 
     async def _read_changes(self) -> bool:
-        """Read what changed; tell whether that is known to be all."""
+        """Read changes; return whether they are known to be complete."""
         known = self.newest
         try:
-            seen = await self._store.list_changes(self._prefix, known)
+            listed = await self._store.list_changes(self._prefix, known)
         except HistoryLostError:
             return False
-        # Of several versions only the last matters.
-        newest = {change.key: change for change in seen.changes}
-        for change in newest.values():
+        # Only the last change of each key is applied.
+        latest = {change.key: change for change in listed.changes}
+        for change in latest.values():
             self._apply(change)
-        last = max((each.revision for each in seen.changes), default=known)
-        # A service that is at a later revision, without a change that made
-        # it, has lost some: it hears nothing and does not say so.
-        if last < seen.revision:
+        last_revision = max(
+            (each.revision for each in listed.changes), default=known
+        )
+        # A service revision beyond the last listed change means that the
+        # service has lost changes without reporting an error.
+        if last_revision < listed.revision:
             return False
-        self._newest = max(self._newest, last)
+        self._newest = max(self._newest, last_revision)
         return True
 
     def _apply(self, change: Change) -> None:
         if change.pair is None:
-            self._report_deleted(change.key, change.revision)
+            self._apply_deletion(change.key, change.revision)
         else:
-            self._report(change.pair)
+            self._apply_pair(change.pair)
 
-    def _report(self, pair: Pair) -> None:
-        # A listing may be older than what the watch has brought meanwhile: it
-        # would bring back what was deleted, or an older value.
+    def _apply_pair(self, pair: Pair) -> None:
+        # A listing may be older than what the watch has reported meanwhile,
+        # and must not restore a deleted key or an older value.
         deleted = self._deleted.get(pair.key, 0)
         if pair.revision < max(deleted, self._known_revision(pair.key)):
             return
-        self._keep_older(pair)
+        self._keep_previous(pair)
         self._known[pair.key] = pair
         self._deleted.pop(pair.key, None)
-        self._take(pair.key, pair)
+        self._on_change(pair.key, pair)
 
-    def _keep_older(self, pair: Pair) -> None:
+    def _keep_previous(self, pair: Pair) -> None:
         known = self._known.get(pair.key)
-        large = len(pair.stored) >= _LARGE_BYTES
+        large = len(pair.stored) >= _LARGE_VALUE_BYTES
         if large and known is not None and known.revision < pair.revision:
-            self._older[pair.key] = known
+            self._previous[pair.key] = known
 
-    def _report_deleted(self, key: str, revision: int) -> None:
+    def _apply_deletion(self, key: str, revision: int) -> None:
         if revision < self._known_revision(key):
             return
         self._known.pop(key, None)
-        self._older.pop(key, None)
+        self._previous.pop(key, None)
         self._deleted.pop(key, None)
         self._deleted[key] = revision
-        while len(self._deleted) > _MOST_DELETED:
+        while len(self._deleted) > _MAX_DELETIONS_KEPT:
             self._deleted.pop(next(iter(self._deleted)))
-        self._take(key, None)
+        self._on_change(key, None)
 
     def _known_revision(self, key: str) -> int:
         known = self._known.get(key)
--- a/tests/test_kv.py
+++ b/tests/test_kv.py
@@ -1,4 +1,4 @@
-"""The key-value service: the same cases in memory and over the protocol."""
+"""Tests of all implementations of the key-value service."""
 
 import asyncio
 import contextlib
@@ -8,43 +8,43 @@
 from aiohttp import web
 
 from primrosewood.errors import HistoryLostError, StoreUnavailableError
-from primrosewood.etcd import EtcdKeyValue, end_of_prefix
+from primrosewood.etcd import EtcdKeyValue, prefix_range_end
 from primrosewood.kv import MemoryKeyValue
 from primrosewood.platform.store import PlatformStore
 from standins.platform import PlatformStandIn
 from standins.store import StoreStandIn
 
 
-class _Cases:
-    """Cases for any implementation."""
+class _CommonCases:
+    """Cases for every implementation."""
 
     async def test_swap_by_revision(self):
-        first = await self.store.swap('k', b'1', 0)
-        self.assertTrue(first.swapped)
-        lost = await self.store.swap('k', b'2', 0)
-        self.assertFalse(lost.swapped)
-        self.assertEqual(b'1', lost.current.stored)
-        self.assertEqual(first.revision, lost.current.revision)
-        second = await self.store.swap('k', b'2', first.revision)
-        self.assertGreater(second.revision, first.revision)
+        created = await self.store.swap('k', b'1', 0)
+        self.assertTrue(created.swapped)
+        rejected = await self.store.swap('k', b'2', 0)
+        self.assertFalse(rejected.swapped)
+        self.assertEqual(b'1', rejected.current.stored)
+        self.assertEqual(created.revision, rejected.current.revision)
+        updated = await self.store.swap('k', b'2', created.revision)
+        self.assertGreater(updated.revision, created.revision)
         self.assertEqual(b'2', (await self.store.fetch('k')).stored)
 
     async def test_absent_key(self):
         self.assertIsNone(await self.store.fetch('none'))
-        lost = await self.store.swap('none', b'1', 5)
-        self.assertFalse(lost.swapped)
-        self.assertIsNone(lost.current)
+        rejected = await self.store.swap('none', b'1', 5)
+        self.assertFalse(rejected.swapped)
+        self.assertIsNone(rejected.current)
 
-    async def test_lists_a_prefix_since_a_revision(self):
+    async def test_list_pairs_since_a_revision(self):
         for key in ('a/1', 'a/2', 'b/1'):
             revision = await self.store.put(key, key.encode())
         await self.store.put('a/1', b'new')
         keys = [pair.key for pair in await self.store.list_pairs('a/')]
         self.assertEqual(['a/1', 'a/2'], keys)
-        fresh = await self.store.list_pairs('a/', revision + 1)
-        self.assertEqual([b'new'], [pair.stored for pair in fresh])
+        recent = await self.store.list_pairs('a/', revision + 1)
+        self.assertEqual([b'new'], [pair.stored for pair in recent])
 
-    async def test_lease_lapses_with_what_was_written_under_it(self):
+    async def test_expired_lease_deletes_its_keys(self):
         lease = await self.store.grant(1)
         await self.store.put('leased', b'x', lease)
         self.assertTrue(await self.store.keep_alive(lease))
@@ -52,29 +52,33 @@
         self.assertIsNone(await self.store.fetch('leased'))
         self.assertFalse(await self.store.keep_alive(lease))
 
-    async def test_revoked_lease(self):
+    async def test_revoked_lease_deletes_its_keys(self):
         lease = await self.store.grant(30)
         await self.store.put('leased', b'x', lease)
         await self.store.revoke(lease)
         self.assertIsNone(await self.store.fetch('leased'))
 
-    async def test_watch_sees_changes_and_deletions(self):
+    async def test_watch_yields_writes_and_deletions(self):
         lease = await self.store.grant(30)
         revision = await self.store.put('w/1', b'1')
         await self.store.put('other', b'x')
         await self.store.put('w/2', b'2', lease)
         await self.store.revoke(lease)
-        seen = []
+        observed = []
         watch = self.store.watch('w/', revision)
         async with contextlib.aclosing(watch):
             async for change in watch:
-                seen.append((change.key, change.pair and change.pair.stored))
-                if len(seen) == 3:
+                observed.append(
+                    (change.key, change.pair and change.pair.stored)
+                )
+                if len(observed) == 3:
                     break
-        self.assertEqual([('w/1', b'1'), ('w/2', b'2'), ('w/2', None)], seen)
+        self.assertEqual(
+            [('w/1', b'1'), ('w/2', b'2'), ('w/2', None)], observed
+        )
 
-    async def test_listing_names_the_revision_to_watch_from(self):
-        """A change between a listing and the watch after it."""
+    async def test_listing_has_the_revision_to_watch_from(self):
+        """A change between a listing and the following watch is not lost."""
         for key in ('l/1', 'l/2', 'l/3', 'l/4', 'l/5'):
             await self.store.put(key, key.encode())
         listing = await self.store.list_all('l/')
@@ -86,10 +90,10 @@
         self.assertEqual('l/6', change.key)
 
 
-class _ChangesCases:
-    """Cases for services that list what changed."""
+class _ListChangesCases:
+    """Cases for implementations that can list changes."""
 
-    async def test_lists_what_changed_after_a_revision(self):
+    async def test_list_changes_after_a_revision(self):
         await self.store.put('c/1', b'old')
         known = (await self.store.list_all('c/')).revision
         lease = await self.store.grant(30)
@@ -97,32 +101,37 @@
         await self.store.put('other', b'x')
         await self.store.put('c/3', b'x', lease)
         await self.store.revoke(lease)
-        seen = await self.store.list_changes('c/', known)
+        observed = await self.store.list_changes('c/', known)
         last = {
-            each.key: each.pair and each.pair.stored for each in seen.changes
+            each.key: each.pair and each.pair.stored
+            for each in observed.changes
         }
         self.assertEqual({'c/2': b'new', 'c/3': None}, last)
-        self.assertGreaterEqual(seen.revision, seen.changes[-1].revision)
+        self.assertGreaterEqual(
+            observed.revision, observed.changes[-1].revision
+        )
 
-    async def test_returns_at_once_when_nothing_changed(self):
-        """A reading that waited for a change would look like an outage."""
+    async def test_list_changes_does_not_wait_for_a_change(self):
+        """A read that waited for the next change would look like an outage."""
         known = await self.store.put('c/1', b'1')
         began = asyncio.get_running_loop().time()
-        seen = await self.store.list_changes('c/', known)
-        self.assertEqual([], seen.changes)
-        self.assertGreaterEqual(seen.revision, known)
+        observed = await self.store.list_changes('c/', known)
+        self.assertEqual([], observed.changes)
+        self.assertGreaterEqual(observed.revision, known)
         self.assertLess(asyncio.get_running_loop().time() - began, 0.3)
 
 
-class MemoryTest(_Cases, _ChangesCases, unittest.IsolatedAsyncioTestCase):
-    """In memory."""
+class MemoryTest(
+    _CommonCases, _ListChangesCases, unittest.IsolatedAsyncioTestCase
+):
+    """The implementation in memory."""
 
     async def asyncSetUp(self):
         self.store = MemoryKeyValue()
 
 
-class _ServedCases(_Cases):
-    """Cases for services behind a connection."""
+class _NetworkCases(_CommonCases):
+    """Cases for implementations that use the network."""
 
     async def serve(self, app):
         self.runner = web.AppRunner(app, shutdown_timeout=0.1)
@@ -133,7 +142,7 @@
         port = site._server.sockets[0].getsockname()[1]
         return f'127.0.0.1:{port}'
 
-    async def test_service_that_is_not_there(self):
+    async def test_unreachable_service(self):
         await self.runner.cleanup()
         for call in (
             self.store.fetch('k'),
@@ -148,22 +157,22 @@
                 break
 
 
-class EtcdTest(_ServedCases, unittest.IsolatedAsyncioTestCase):
-    """Over the protocol, against the stand-in."""
+class EtcdTest(_NetworkCases, unittest.IsolatedAsyncioTestCase):
+    """The etcd protocol, against a stand-in."""
 
     async def asyncSetUp(self):
         address = await self.serve(PlatformStandIn().make_app())
         self.store = EtcdKeyValue(f'http://{address}', 2)
         self.addAsyncCleanup(self.store.close)
 
-    def test_end_of_a_prefix(self):
-        self.assertEqual('a0', end_of_prefix('a/'))
+    def test_prefix_range_end(self):
+        self.assertEqual('a0', prefix_range_end('a/'))
 
 
 class UsersPlatformTest(
-    _ServedCases, _ChangesCases, unittest.IsolatedAsyncioTestCase
+    _NetworkCases, _ListChangesCases, unittest.IsolatedAsyncioTestCase
 ):
-    """Over the users' platform's calls, against the stand-in."""
+    """The key-value API of the users' platform, against a stand-in."""
 
     async def asyncSetUp(self):
         self.stand_in = StoreStandIn()
@@ -171,32 +180,32 @@
         self.store = PlatformStore(address, 0.5)
         self.addAsyncCleanup(self.store.close)
 
-    async def test_silent_service_is_unavailable(self):
-        """The service stands still and resets nothing.
+    async def test_hanging_service_is_unavailable(self):
+        """The service hangs without closing the connection.
 
-        Whoever reads it would wait for ever, and an entry would serve an old
-        configuration without knowing.
+        Without a timeout a reader would wait forever, and an entry would keep
+        serving an old configuration without detecting it.
         """
         self.stand_in.faults.silent = True
         with self.assertRaises(StoreUnavailableError):
             await self.store.list_all('')
 
-    async def test_long_answer_over_a_thin_line(self):
-        """The routes have grown to half a megabyte, the line has 10 Mbit/s.
+    async def test_long_answer_over_a_slow_network(self):
+        """Routes of half a megabyte arrive over a network of 10 Mbit/s.
 
-        The answer is coming all the time and takes longer than a service that
-        is silent may take. An entry that gave it up each time kept old routes,
-        and after a restart it knew no back end until the routes shrank.
+        Data keeps arriving, but the whole answer takes longer than the timeout
+        for a silent service. An entry that aborted such answers kept old
+        routes, and after a restart knew no back end until the routes shrank.
         """
         await self.store.put('k', b'1')
         self.stand_in.faults.drip_seconds = 1.0
         listing = await self.store.list_all('')
         self.assertEqual([b'1'], [pair.stored for pair in listing.pairs])
 
-    async def test_answer_that_stops_halfway(self):
-        """The line goes silent in the middle of an answer.
+    async def test_answer_that_stalls_halfway(self):
+        """The connection goes silent in the middle of an answer.
 
-        It is given up as soon as one that never begins.
+        The read times out as early as one without any answer.
         """
         await self.store.put('k', b'1')
         self.stand_in.faults.drip_seconds = 0.5
@@ -204,37 +213,38 @@
         began = asyncio.get_running_loop().time()
         with self.assertRaises(StoreUnavailableError):
             await self.store.list_all('')
-        took = asyncio.get_running_loop().time() - began
-        self.assertLess(took, 2.0)
+        elapsed = asyncio.get_running_loop().time() - began
+        self.assertLess(elapsed, 2.0)
 
-    async def test_answer_that_drips_without_end(self):
-        """Bytes keep coming far too slowly to be of use.
+    async def test_answer_that_is_too_slow(self):
+        """Data arrives continuously but far too slowly to be useful.
 
-        Nothing else is read on the side: an entry would live for minutes on
-        what it read last, and take its service for healthy.
+        No other read runs meanwhile, so without a limit an entry would use old
+        data for minutes and consider the service healthy.
         """
         await self.store.put('k', b'1')
         self.stand_in.faults.drip_seconds = 4.0
         began = asyncio.get_running_loop().time()
         with self.assertRaises(StoreUnavailableError):
             await self.store.list_all('')
-        took = asyncio.get_running_loop().time() - began
-        self.assertLess(took, 3.5)
+        elapsed = asyncio.get_running_loop().time() - began
+        self.assertLess(elapsed, 3.5)
 
-    async def test_dropped_history_is_told_apart(self):
+    async def test_dropped_history_ends_a_watch(self):
         self.stand_in.faults.history_from = 10
         with self.assertRaises(HistoryLostError):
             await anext(self.store.watch('', 2))
 
-    async def test_dropped_history_ends_a_list_of_changes(self):
+    async def test_dropped_history_fails_list_changes(self):
         self.stand_in.faults.history_from = 10
         with self.assertRaises(HistoryLostError):
             await self.store.list_changes('', 2)
 
-    async def test_write_whose_answer_is_lost(self):
-        """The write is done, and its answer never comes.
+    async def test_write_with_a_lost_answer(self):
+        """The write takes effect, but its answer never arrives.
 
-        The caller is told that it does not know; the value stands.
+        The caller gets an error that leaves the outcome open, and the value
+        is stored.
         """
         self.stand_in.faults.lose_writes = True
         with self.assertRaises(StoreUnavailableError):
@@ -242,9 +252,9 @@
         self.assertEqual(b'1', (await self.store.fetch('k')).stored)
 
     async def test_value_that_is_not_base64(self):
-        """Another writer's bytes below a prefix that is listed.
+        """Another writer stored an invalid value below the listed prefix.
 
-        The listing must not fail for all because of one.
+        One invalid value must not fail the whole listing.
         """
         await self.stand_in.store.put('a', b'x')
         with mock.patch('standins.store.base64.b64encode') as encode:
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -1,4 +1,4 @@
-"""Following a prefix while watches and listings overlap."""
+"""Tests of the watcher, with overlapping sources, and of the announcer."""
 
 import asyncio
 import unittest
@@ -10,212 +10,216 @@
 from primrosewood.watcher import Watcher, WatchPace
 
 
-class _SlowListing(MemoryKeyValue):
-    """Answers a listing late, with what stood when it was asked."""
+class _DelayedListingStore(MemoryKeyValue):
+    """Delays the result of a listing that it has already read."""
 
     def __init__(self):
         super().__init__()
-        self.gate = asyncio.Event()
+        self.release = asyncio.Event()
 
     async def list_pairs(self, prefix, since=0):
         pairs = await super().list_pairs(prefix, since)
-        await self.gate.wait()
+        await self.release.wait()
         return pairs
 
 
-class _MuteWatch(MemoryKeyValue):
-    """Its watches hear nothing."""
+class _SilentWatchStore(MemoryKeyValue):
+    """Its watches never yield a change and never fail."""
 
     async def watch(self, prefix, since):
         await asyncio.sleep(1000)
         yield
 
 
-class _ShortHistory(MemoryKeyValue):
-    """Has dropped its history once."""
+class _LostHistoryStore(MemoryKeyValue):
+    """Rejects the first watch because its history is lost."""
 
     def __init__(self):
         super().__init__()
-        self.refused = False
+        self.rejected = False
 
     async def watch(self, prefix, since):
-        if not self.refused:
-            self.refused = True
+        if not self.rejected:
+            self.rejected = True
             raise HistoryLostError('gone')
         async for change in super().watch(prefix, since):
             yield change
 
 
 class WatcherTest(unittest.IsolatedAsyncioTestCase):
-    """What the taker is told."""
+    """Changes that the watcher reports."""
 
     def setUp(self):
-        self.held = {}
+        self.values_by_key = {}
 
-    def take(self, key, pair):
+    def apply(self, key, pair):
         if pair is None:
-            self.held.pop(key, None)
+            self.values_by_key.pop(key, None)
         else:
-            self.held[key] = pair.stored
+            self.values_by_key[key] = pair.stored
 
-    async def wait_for(self, wanted):
+    async def wait_for(self, expected):
         async with asyncio.timeout(5):
-            while self.held != wanted:
+            while self.values_by_key != expected:
                 await asyncio.sleep(0.01)
 
     async def begin_listing(self, store, stored):
-        """Return a listing that has read the store and not yet answered."""
+        """Return a task of a listing that has been read but not returned."""
         await store.put('m/1', stored)
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.take)
-        store.gate.set()
-        following = asyncio.create_task(watcher.run())
-        self.addCleanup(following.cancel)
+        watcher = Watcher(store, 'm/', WatchPace(1000), self.apply)
+        store.release.set()
+        running = asyncio.create_task(watcher.run())
+        self.addCleanup(running.cancel)
         await self.wait_for({'m/1': stored})
-        store.gate.clear()
+        store.release.clear()
         listing = asyncio.create_task(watcher.list_all())
         await asyncio.sleep(0.01)
         return listing
 
-    async def test_listing_from_before_a_deletion_brings_nothing_back(self):
+    async def test_older_listing_does_not_restore_a_deleted_key(self):
         """An engine leaves while an entry lists all records.
 
-        The watch tells the deletion, then the listing, which was read before
-        it, comes: callers would be sent to an engine that has gone.
+        The watch reports the deletion before the older listing arrives. The
+        listing must not restore the record, or calls would be routed to an
+        engine that is gone.
         """
-        store = _SlowListing()
+        store = _DelayedListingStore()
         listing = await self.begin_listing(store, b'1')
         store.delete('m/1')
         await self.wait_for({})
-        store.gate.set()
+        store.release.set()
         await listing
-        self.assertEqual({}, self.held)
+        self.assertEqual({}, self.values_by_key)
 
-    async def test_listing_from_before_a_change_does_not_win(self):
+    async def test_older_listing_does_not_revert_a_change(self):
         """Operators change a route while an entry lists all keys.
 
-        The watch brings the new version, then the older listing comes: the
-        entry would go back to a version that is not in force any more.
+        The watch reports the new version before the older listing arrives. The
+        entry must not revert to the version in the listing.
         """
-        store = _SlowListing()
+        store = _DelayedListingStore()
         listing = await self.begin_listing(store, b'old')
         await store.put('m/1', b'new')
         await self.wait_for({'m/1': b'new'})
-        store.gate.set()
+        store.release.set()
         await listing
-        self.assertEqual({'m/1': b'new'}, self.held)
+        self.assertEqual({'m/1': b'new'}, self.values_by_key)
 
-    async def test_silent_watch_is_made_good_by_polls(self):
-        """A watch that hears nothing, without a reset or an error.
+    async def test_polls_find_changes_that_a_silent_watch_misses(self):
+        """The watch yields nothing, without a reset or an error.
 
-        A change must be in force within seconds of being accepted.
+        Polls must find changes, which have to take effect within seconds of
+        being accepted.
         """
-        store = _MuteWatch()
+        store = _SilentWatchStore()
         pace = WatchPace(0.02, polls_per_listing=1)
-        watcher = Watcher(store, 'm/', pace, self.take)
-        following = asyncio.create_task(watcher.run())
+        watcher = Watcher(store, 'm/', pace, self.apply)
+        running = asyncio.create_task(watcher.run())
         await store.put('m/1', b'1')
         await self.wait_for({'m/1': b'1'})
         store.delete('m/1')
         await self.wait_for({})
-        following.cancel()
+        running.cancel()
 
-    async def test_dropped_history_is_listed_anew(self):
-        """The service drops its history while a watch is out.
+    async def test_dropped_history_leads_to_a_new_listing(self):
+        """The service drops its history while a watch is disconnected.
 
-        A watch from the old revision is refused for ever, though nothing
-        below the prefix may have changed since.
+        It then rejects each watch from the old revision, even if nothing below
+        the prefix has changed since.
         """
-        store = _ShortHistory()
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.take)
-        following = asyncio.create_task(watcher.run())
+        store = _LostHistoryStore()
+        watcher = Watcher(store, 'm/', WatchPace(1000), self.apply)
+        running = asyncio.create_task(watcher.run())
         async with asyncio.timeout(5):
-            while not store.refused:
+            while not store.rejected:
                 await asyncio.sleep(0.01)
         await store.put('m/1', b'1')
         await self.wait_for({'m/1': b'1'})
-        following.cancel()
+        running.cancel()
 
-    async def test_change_during_a_listing_is_no_deletion(self):
+    async def test_key_created_during_a_listing_is_not_deleted(self):
         """An endpoint announces itself while an entry lists all members.
 
-        Its callers would see it vanish from the choice until the next
-        listing: the watch brings it, the late listing does not have it.
+        The watch reports it, and the listing, which was read before, lacks it.
+        The entry must not drop the endpoint until the next listing.
         """
-        store = _SlowListing()
-        store.gate.set()
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.take)
-        following = asyncio.create_task(watcher.run())
+        store = _DelayedListingStore()
+        store.release.set()
+        watcher = Watcher(store, 'm/', WatchPace(1000), self.apply)
+        running = asyncio.create_task(watcher.run())
         await store.put('m/1', b'1')
         await self.wait_for({'m/1': b'1'})
-        store.gate.clear()
+        store.release.clear()
         listing = asyncio.create_task(watcher.list_all())
         await asyncio.sleep(0)
         await store.put('m/2', b'2')
         await self.wait_for({'m/1': b'1', 'm/2': b'2'})
-        store.gate.set()
+        store.release.set()
         await listing
-        self.assertEqual({'m/1': b'1', 'm/2': b'2'}, self.held)
-        following.cancel()
+        self.assertEqual({'m/1': b'1', 'm/2': b'2'}, self.values_by_key)
+        running.cancel()
 
     async def test_listing_finds_deletions_the_watch_missed(self):
         store = MemoryKeyValue()
         lease = await store.grant(30)
         await store.put('m/1', b'1', lease)
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.take)
+        watcher = Watcher(store, 'm/', WatchPace(1000), self.apply)
         await watcher.list_all()
         await store.revoke(lease)
         await watcher.list_all()
-        self.assertEqual({}, self.held)
+        self.assertEqual({}, self.values_by_key)
 
-    async def test_changes_that_a_peer_tells(self):
-        """An entry that the service turns away hears from one that reads.
+    async def test_changes_from_a_peer(self):
+        """An entry that the service rejects gets changes from a peer.
 
-        It gets what is newer than what it holds, deletions included, and is
-        not taken back by a peer that knows less.
+        It applies newer changes, deletions included, and ignores older ones
+        from a peer that is behind.
         """
         store = MemoryKeyValue()
         await store.put('m/1', b'1')
         await store.put('m/2', b'2')
-        cut = Watcher(store, 'm/', WatchPace(1000), self.take)
-        peer = Watcher(store, 'm/', WatchPace(1000), _drop)
-        await cut.list_all()
+        disconnected = Watcher(store, 'm/', WatchPace(1000), self.apply)
+        peer = Watcher(store, 'm/', WatchPace(1000), _ignore_change)
+        await disconnected.list_all()
         await peer.list_all()
         await store.put('m/1', b'new')
         store.delete('m/2')
         await peer.list_all()
-        cut.take_told(peer.changes_since(cut.newest), peer.newest)
-        self.assertEqual({'m/1': b'new'}, self.held)
-        self.assertEqual(peer.newest, cut.newest)
-        cut.take_told([Change('m/1', 1, Pair('m/1', b'1', 1))], 1)
-        self.assertEqual({'m/1': b'new'}, self.held)
-        self.assertEqual(peer.newest, cut.newest)
+        disconnected.take_told(
+            peer.changes_since(disconnected.newest), peer.newest
+        )
+        self.assertEqual({'m/1': b'new'}, self.values_by_key)
+        self.assertEqual(peer.newest, disconnected.newest)
+        disconnected.take_told([Change('m/1', 1, Pair('m/1', b'1', 1))], 1)
+        self.assertEqual({'m/1': b'new'}, self.values_by_key)
+        self.assertEqual(peer.newest, disconnected.newest)
 
-    async def test_told_changes_do_not_hide_what_the_service_says(self):
-        """A peer missed one change and told the ones after it.
+    async def test_changes_from_a_peer_do_not_hide_missed_ones(self):
+        """A peer missed one change and reported a later one.
 
-        When the service answers again the missed one must still come.
+        Once the service answers again, the missed change must still arrive.
         """
         store = MemoryKeyValue()
         await store.put('m/1', b'1')
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.take)
+        watcher = Watcher(store, 'm/', WatchPace(1000), self.apply)
         await watcher.list_all()
         await store.put('m/2', b'missed')
         await store.put('m/3', b'told')
-        told = await store.list_pairs('m/3')
+        reported = await store.list_pairs('m/3')
         watcher.take_told(
-            [Change(pair.key, pair.revision, pair) for pair in told], 3
+            [Change(pair.key, pair.revision, pair) for pair in reported], 3
         )
-        following = asyncio.create_task(watcher.run())
-        self.addCleanup(following.cancel)
+        running = asyncio.create_task(watcher.run())
+        self.addCleanup(running.cancel)
         await self.wait_for({'m/1': b'1', 'm/2': b'missed', 'm/3': b'told'})
 
 
-def _drop(_key, _pair):
-    """Take nothing."""
+def _ignore_change(_key, _pair):
+    """Ignore a change."""
 
 
-class _FirstPutFails(MemoryKeyValue):
-    """Loses the first write."""
+class _FirstPutFailsStore(MemoryKeyValue):
+    """Fails the first put."""
 
     def __init__(self):
         super().__init__()
@@ -234,19 +238,19 @@
     def setUp(self):
         self.member = MemberRecord('e1', 'v', 't', 's', 'd', 'i', 'ws://x')
 
-    async def test_record_is_written_though_the_first_write_failed(self):
-        """The service took the lease and then was away for the write.
+    async def test_record_is_written_after_a_failed_first_write(self):
+        """The service grants the lease and then fails the write.
 
-        No entry would ever see the endpoint, though its lease is renewed.
+        If only the lease were renewed, no entry would ever see the endpoint.
         """
-        store = _FirstPutFails()
+        store = _FirstPutFailsStore()
         announcer = Announcer(store, self.member, 30)
         with self.assertRaises(StoreUnavailableError):
             await announcer.renew()
         await announcer.renew()
         self.assertIsNotNone(await store.fetch('primrosewood/members/e1'))
 
-    async def test_lapsed_lease_is_taken_anew(self):
+    async def test_expired_lease_is_replaced(self):
         store = MemoryKeyValue()
         announcer = Announcer(store, self.member, 30)
         await announcer.renew()
