--- a/primrosewood/changes.py
+++ b/primrosewood/changes.py
@@ -1,4 +1,7 @@
-"""Acceptance of changes to settings: one swap for a team's whole subtree."""
+"""Applies operators' changes to a team's stored settings.
+
+A team's settings are one value, which each change replaces by compare-and-swap.
+"""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,7 +11,7 @@
 
 from .clock import Clock
 from .config import check_document
-from .documents import Path, delete_at, overlap, put_at, split_path
+from .documents import Path, delete_at, paths_overlap, put_at, split_path
 from .errors import ErrorKind, RequestFailedError, StoreUnavailableError
 from .gen_stored import Change, StoredSettings
 from .gen_wire import SettingsRecord
@@ -17,30 +20,31 @@
 from .logs import log_event
 from .settings import SETTINGS_PREFIX
 
-__all__ = ('Accepted', 'ChangeRequest', 'SettingsEditor')
+__all__ = ('AcceptedChange', 'ChangeRequest', 'SettingsEditor')
 
-_HISTORY_KEPT = 50
-_MOST_TRIES = 12
-_TRY_PAUSE = 0.1
-_LARGEST_VALUE = 900_000
+_MAX_HISTORY_ENTRIES = 50
+_MAX_ATTEMPTS = 12
+_RETRY_DELAY_SECONDS = 0.1
+_MAX_VALUE_BYTES = 900_000
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeRequest:
-    """A change an operator asks for.
+    """A change of settings that an operator requests.
 
     Attributes
     ----------
     team, path
-        Where.
+        Team, and path in its settings document.
     action
         ``put`` or ``delete``.
     replacement
-        What to put there.
+        New value at the path, for ``put``.
     operator
-        Who asks.
+        Name of the operator.
     seen_revision
-        The revision the operator looked at; None to change what stands.
+        Revision that the operator has seen, against which conflicts are
+        checked; None to change the current revision.
     """
 
     team: str
@@ -52,83 +56,111 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Accepted:
-    """An accepted change."""
+class AcceptedChange:
+    """An accepted change, with the settings that it resulted in."""
 
     record: SettingsRecord
 
 
 @dataclass(slots=True)
 class _Edit:
+    """A requested change and its state across attempts.
+
+    Attributes
+    ----------
+    request, path
+        The request, and its path in parts.
+    nonce
+        Identifies the change in the stored history.
+    base_revision
+        Revision against which conflicts are checked; None until read.
+    write_sent
+        Whether a write was sent, which may have taken effect.
+    """
+
     request: ChangeRequest
     path: Path
     nonce: str
-    base: int | None
-    written: bool = False
+    base_revision: int | None
+    write_sent: bool = False
 
 
 class SettingsEditor:
-    """Writes changes to the key-value service.
+    """Writes changes of settings to the key-value service.
 
-    Operators who race on paths that touch get one winner; the other is told
-    ``conflict`` with the winning revision. Changes of paths that do not touch
-    are both accepted: the later one is applied to the newer document.
+    When two operators change overlapping paths at once, one change is accepted
+    and the other fails with ``conflict`` and the accepted revision. Changes of
+    paths that do not overlap are both accepted: the later one is applied to
+    the newer document.
     """
 
     def __init__(self, store: KeyValue, clock: Clock) -> None:
-        """Take the service."""
+        """Create an editor.
+
+        Parameters
+        ----------
+        store
+            The key-value service.
+        clock
+            Source of the time that is recorded with a change.
+        """
         self._store = store
         self._clock = clock
 
-    async def apply(self, request: ChangeRequest) -> Accepted:
-        """Make a change.
+    async def apply(self, request: ChangeRequest) -> AcceptedChange:
+        """Apply a change.
+
+        Retries when the key-value service fails or another write came first.
 
         Raises
         ------
         SettingsInvalidError
-            The whole document would not match its schema.
+            The changed document does not match its schema.
         RequestFailedError
-            ``conflict``; ``store_unavailable`` when nothing was written;
+            ``conflict`` when an overlapping path was changed after the seen
+            revision, or may have been; ``not_found`` or ``invalid_request``
+            for a bad path; ``too_large`` when the settings would exceed the
+            size limit; ``store_unavailable`` when nothing was written;
             ``accept_unknown`` when a write was sent and cannot be read back.
         """
         edit = _Edit(
             request=request,
             path=split_path(request.path),
             nonce=make_identifier(),
-            base=request.seen_revision,
+            base_revision=request.seen_revision,
         )
-        for _ in range(_MOST_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             try:
-                accepted = await self._try_once(edit)
+                accepted = await self._attempt(edit)
             except StoreUnavailableError:
                 accepted = None
             if accepted is not None:
                 return accepted
-            await asyncio.sleep(_TRY_PAUSE)
+            await asyncio.sleep(_RETRY_DELAY_SECONDS)
         kind = ErrorKind.store_unavailable
-        if edit.written:
+        if edit.write_sent:
             kind = ErrorKind.accept_unknown
         raise RequestFailedError(kind, retry_seconds=1)
 
     async def read_history(self, team: str) -> list[Change]:
-        """Return a team's last changes, oldest first."""
-        return _parse(await self._fetch(team)).history
+        """Return a team's most recent changes, oldest first."""
+        return _parse_stored(await self._fetch(team)).history
 
-    async def _try_once(self, edit: _Edit) -> Accepted | None:
+    async def _attempt(self, edit: _Edit) -> AcceptedChange | None:
         pair = await self._fetch(edit.request.team)
-        stored = _parse(pair)
-        # A swap whose answer was lost may have taken effect: the nonce in
-        # the history tells, even when other changes have followed it.
+        stored = _parse_stored(pair)
+        # A swap whose answer was lost may have taken effect. In that case the
+        # history contains its nonce, even if other changes have followed.
         if any(change.nonce == edit.nonce for change in stored.history):
-            return Accepted(_to_record(edit.request.team, stored))
-        if edit.base is None:
-            edit.base = stored.revision
-        _check_conflict(edit, stored)
-        wanted = self._change(edit, stored)
-        encoded = msgspec.json.encode(wanted)
-        if len(encoded) > _LARGEST_VALUE:
+            return AcceptedChange(_make_record(edit.request.team, stored))
+        if edit.base_revision is None:
+            edit.base_revision = stored.revision
+        _raise_on_conflict(edit, stored)
+        updated = self._build_settings(edit, stored)
+        encoded = msgspec.json.encode(updated)
+        if len(encoded) > _MAX_VALUE_BYTES:
             raise RequestFailedError(ErrorKind.too_large)
-        edit.written = True
+        edit.write_sent = True
         swap = await self._store.swap(
             SETTINGS_PREFIX + edit.request.team,
             encoded,
@@ -141,14 +173,16 @@
             team=edit.request.team,
             path=edit.request.path,
             operator=edit.request.operator,
-            revision=wanted.revision,
+            revision=updated.revision,
         )
-        return Accepted(_to_record(edit.request.team, wanted))
+        return AcceptedChange(_make_record(edit.request.team, updated))
 
     async def _fetch(self, team: str) -> Pair | None:
         return await self._store.fetch(SETTINGS_PREFIX + team)
 
-    def _change(self, edit: _Edit, stored: StoredSettings) -> StoredSettings:
+    def _build_settings(
+        self, edit: _Edit, stored: StoredSettings
+    ) -> StoredSettings:
         request = edit.request
         document = msgspec.json.decode(stored.document or '{}')
         if request.action == 'delete':
@@ -164,29 +198,34 @@
             at=self._clock.wall(),
             action=request.action,
         )
-        history = [*stored.history, change][-_HISTORY_KEPT:]
+        history = [*stored.history, change][-_MAX_HISTORY_ENTRIES:]
         text = msgspec.json.encode(document).decode()
         return StoredSettings(stored.revision + 1, text, history)
 
 
-def _parse(pair: Pair | None) -> StoredSettings:
+def _parse_stored(pair: Pair | None) -> StoredSettings:
     if pair is None:
         return StoredSettings(revision=0, document='', history=[])
     return msgspec.json.decode(pair.stored, type=StoredSettings)
 
 
-def _to_record(team: str, stored: StoredSettings) -> SettingsRecord:
+def _make_record(team: str, stored: StoredSettings) -> SettingsRecord:
     return SettingsRecord(team, stored.revision, stored.document)
 
 
-def _check_conflict(edit: _Edit, stored: StoredSettings) -> None:
-    since = [change for change in stored.history if change.revision > edit.base]
-    # Changes that have left the history cannot be told apart any more.
-    forgotten = stored.revision - edit.base > len(since)
-    touched = any(
-        overlap(split_path(change.path), edit.path) for change in since
+def _raise_on_conflict(edit: _Edit, stored: StoredSettings) -> None:
+    later = [
+        change
+        for change in stored.history
+        if change.revision > edit.base_revision
+    ]
+    # The paths of changes that were dropped from the history are unknown, so
+    # any of them may overlap.
+    history_truncated = stored.revision - edit.base_revision > len(later)
+    overlapping = any(
+        paths_overlap(split_path(change.path), edit.path) for change in later
     )
-    if touched or forgotten or edit.base > stored.revision:
+    if overlapping or history_truncated or edit.base_revision > stored.revision:
         raise RequestFailedError(
             ErrorKind.conflict, f'revision {stored.revision} stands'
         )
--- a/primrosewood/documents.py
+++ b/primrosewood/documents.py
@@ -1,4 +1,4 @@
-"""Paths in a team's settings document."""
+"""Reads, changes and compares settings documents by path."""
 
 from copy import deepcopy
 from itertools import chain
@@ -10,47 +10,53 @@
     'delete_at',
     'find_differences',
     'get_at',
-    'overlap',
+    'paths_overlap',
     'put_at',
     'split_path',
 )
 
-_LONGEST_PATH = 512
+_MAX_PATH_LENGTH = 512
 
 Path = tuple[str, ...]
 
 
 def split_path(path: str) -> Path:
-    """Return the parts of a path; the root has none.
+    """Return the parts of a slash-separated path; the root has none.
 
     Raises
     ------
     RequestFailedError
         ``invalid_request`` when the path is too long.
     """
-    if len(path) > _LONGEST_PATH:
+    if len(path) > _MAX_PATH_LENGTH:
         raise RequestFailedError(ErrorKind.invalid_request, 'path too long')
     return tuple(part for part in path.split('/') if part)
 
 
 def get_at(document: Any, path: Path) -> Any:
-    """Return what stands at a path.
+    """Return the value at a path.
 
     Raises
     ------
     RequestFailedError
-        ``not_found`` when nothing stands there.
+        ``not_found`` when the path does not exist.
     """
-    found = document
+    current = document
     for part in path:
-        if not isinstance(found, dict) or part not in found:
-            raise _nothing_at(path)
-        found = found[part]
-    return found
+        if not isinstance(current, dict) or part not in current:
+            raise _not_found_error(path)
+        current = current[part]
+    return current
 
 
 def put_at(document: Any, path: Path, replacement: Any) -> Any:
-    """Return the document with something put at a path."""
+    """Return a copy of the document with a value put at a path.
+
+    Raises
+    ------
+    RequestFailedError
+        ``not_found`` when the path leads through a value that is no object.
+    """
     if not path:
         return replacement
     changed = deepcopy(document)
@@ -58,13 +64,19 @@
     for part in path[:-1]:
         target = target.setdefault(part, {})
         if not isinstance(target, dict):
-            raise _nothing_at(path)
+            raise _not_found_error(path)
     target[path[-1]] = replacement
     return changed
 
 
 def delete_at(document: Any, path: Path) -> Any:
-    """Return the document without what stood at a path."""
+    """Return a copy of the document without the value at a path.
+
+    Raises
+    ------
+    RequestFailedError
+        ``not_found`` when the path does not exist.
+    """
     get_at(document, path)
     if not path:
         return {}
@@ -73,19 +85,23 @@
     return changed
 
 
-def overlap(one: Path, other: Path) -> bool:
-    """Tell whether a change of one path touches the other."""
-    shared = min(len(one), len(other))
-    return one[:shared] == other[:shared]
+def paths_overlap(one: Path, other: Path) -> bool:
+    """Return whether one path is equal to the other or contains it."""
+    common = min(len(one), len(other))
+    return one[:common] == other[:common]
 
 
 def find_differences(before: Any, after: Any, path: Path = ()) -> list[str]:
-    """Return a line for each path at which two documents differ."""
+    """Return a line for each path at which two documents differ.
+
+    Lines start with ``+`` for an added, ``-`` for a removed and ``~`` for a
+    changed value.
+    """
     if isinstance(before, dict) and isinstance(after, dict):
         return _compare_members(before, after, path)
     if before == after:
         return []
-    return [f'~ {_show(path)}: {before!r} -> {after!r}']
+    return [f'~ {_format_path(path)}: {before!r} -> {after!r}']
 
 
 def _compare_members(before: Any, after: Any, path: Path) -> list[str]:
@@ -96,17 +112,19 @@
 
 def _compare_member(before: Any, after: Any, path: Path) -> list[str]:
     name = path[-1]
-    shown = _show(path)
+    path_text = _format_path(path)
     if name not in before:
-        return [f'+ {shown}: {after[name]!r}']
+        return [f'+ {path_text}: {after[name]!r}']
     if name not in after:
-        return [f'- {shown}: {before[name]!r}']
+        return [f'- {path_text}: {before[name]!r}']
     return find_differences(before[name], after[name], path)
 
 
-def _nothing_at(path: Path) -> RequestFailedError:
-    return RequestFailedError(ErrorKind.not_found, f'nothing at {_show(path)}')
+def _not_found_error(path: Path) -> RequestFailedError:
+    return RequestFailedError(
+        ErrorKind.not_found, f'nothing at {_format_path(path)}'
+    )
 
 
-def _show(path: Path) -> str:
+def _format_path(path: Path) -> str:
     return '/{}'.format('/'.join(path))
--- a/primrosewood/gossip.py
+++ b/primrosewood/gossip.py
@@ -1,4 +1,8 @@
-"""Settings between connected processes: digests out, missing records in."""
+"""Exchanges settings between connected processes.
+
+Heartbeats carry a digest of the settings. A process that receives a different
+digest requests the records that it lacks.
+"""
 
 from . import gen_wire as wire
 from .codec import Message
@@ -16,11 +20,20 @@
 def handle_settings_message(
     message: Message, link: Link, store: SettingsStore
 ) -> bool:
-    """Act on a message about settings.
+    """Handle a message about settings.
+
+    When the digests differ, each side requests the records that it lacks. An
+    accepted setting thus spreads from any process that has it, even during an
+    outage of the key-value service.
 
-    Unequal digests make both sides ask for what they lack, so an accepted
-    setting spreads from any process that has it, also while the key-value
-    service is out.
+    Parameters
+    ----------
+    message
+        Any message.
+    link
+        Connection on which it arrived, used for the replies.
+    store
+        Settings in force.
 
     Returns
     -------
@@ -32,7 +45,7 @@
             if message.digest != store.digest:
                 link.send(wire.SettingsPull(store.revisions))
         case wire.SettingsPull():
-            for record in store.missing_from(message.revisions):
+            for record in store.records_newer_than(message.revisions):
                 link.send(wire.SettingsPush([record]))
         case wire.SettingsPush():
             for record in message.records:
--- a/primrosewood/settings.py
+++ b/primrosewood/settings.py
@@ -1,4 +1,4 @@
-"""Settings in force in a process: a join of team subtrees by revision."""
+"""The settings that are in force in a process, team by team."""
 
 from dataclasses import dataclass
 
@@ -29,7 +29,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """A caller's organisation within its team."""
+    """A caller's organisation within its team.
+
+    Attributes
+    ----------
+    team, name
+        Team, and name that is unique within it.
+    share
+        Weight in fair queueing.
+    """
 
     team: str
     name: str
@@ -37,18 +45,18 @@
 
     @property
     def full_name(self) -> str:
-        """Name that is unique over all teams."""
+        """Name that is unique across teams."""
         return f'{self.team}/{self.name}'
 
 
 @dataclass(slots=True)
-class _Held:
+class _TeamEntry:
     record: SettingsRecord
     document: TeamSettings
 
 
 def parse_stored(team: str, stored: bytes) -> SettingsRecord:
-    """Return the record behind a value of the key-value service."""
+    """Return a team's settings from their value in the key-value service."""
     found = msgspec.json.decode(stored, type=StoredSettings)
     return SettingsRecord(team, found.revision, found.document)
 
@@ -56,20 +64,20 @@
 class SettingsStore:
     """All teams' settings, each at the highest revision seen.
 
-    Merging is a join by revision: the order of records, repeats and stale
-    reads cannot take an accepted setting back.
+    A record replaces only an older revision of the same team, so records that
+    arrive late, twice or out of order cannot revert an accepted setting.
     """
 
     def __init__(self) -> None:
-        """Start without settings."""
-        self._held: dict[str, _Held] = {}
+        """Create a store without settings."""
+        self._entries: dict[str, _TeamEntry] = {}
         self._organisations: dict[str, Organisation] = {}
         self._digest = 0
         self._changes: Subject[SettingsRecord] = Subject()
 
     @property
     def changes(self) -> reactivex.Observable[SettingsRecord]:
-        """Records as they come into force."""
+        """Observable of records as they take effect."""
         return self._changes
 
     @property
@@ -80,23 +88,25 @@
     @property
     def revisions(self) -> dict[str, int]:
         """Revision in force for each team."""
-        return {team: held.record.revision for team, held in self._held.items()}
+        return {
+            team: entry.record.revision for team, entry in self._entries.items()
+        }
 
     @property
     def ready(self) -> bool:
-        """Whether any settings are known."""
-        return bool(self._held)
+        """Whether the settings of any team are known."""
+        return bool(self._entries)
 
     def merge(self, record: SettingsRecord) -> bool:
-        """Take a record when it is newer than what is held."""
-        held = self._held.get(record.team)
-        if held and held.record.revision >= record.revision:
+        """Apply a record if it is newer; return whether it took effect."""
+        entry = self._entries.get(record.team)
+        if entry and entry.record.revision >= record.revision:
             return False
-        document = self._parse(record)
+        document = self._parse_document(record)
         if document is None:
             return False
-        self._held[record.team] = _Held(record, document)
-        self._index()
+        self._entries[record.team] = _TeamEntry(record, document)
+        self._rebuild_index()
         log_event(
             'settings_in_force', team=record.team, revision=record.revision
         )
@@ -104,66 +114,71 @@
         return True
 
     def take_pair(self, key: str, pair: Pair | None) -> None:
-        """Take a change of a stored subtree; deletions say nothing."""
+        """Apply a change from the key-value service; ignore deletions."""
         if pair is not None:
             team = key.removeprefix(SETTINGS_PREFIX)
             self.merge(parse_stored(team, pair.stored))
 
-    def missing_from(self, revisions: dict[str, int]) -> list[SettingsRecord]:
-        """Return the records that a peer with these revisions lacks."""
+    def records_newer_than(
+        self, revisions: dict[str, int]
+    ) -> list[SettingsRecord]:
+        """Return the records that are newer than a peer's revisions."""
         return [
-            held.record
-            for team, held in self._held.items()
-            if held.record.revision > revisions.get(team, 0)
+            entry.record
+            for team, entry in self._entries.items()
+            if entry.record.revision > revisions.get(team, 0)
         ]
 
     def revision_of(self, team: str) -> int:
-        """Return the revision in force for a team, 0 when unknown."""
-        held = self._held.get(team)
-        return held.record.revision if held else 0
+        """Return the revision in force for a team, 0 if unknown."""
+        entry = self._entries.get(team)
+        return entry.record.revision if entry else 0
 
     def text_of(self, team: str) -> str:
-        """Return a team's settings as JSON text, empty when unknown."""
-        held = self._held.get(team)
-        return held.record.document if held else ''
+        """Return a team's settings as JSON text, empty if unknown."""
+        entry = self._entries.get(team)
+        return entry.record.document if entry else ''
 
     def document_of(self, team: str) -> TeamSettings:
-        """Return a team's settings; empty ones for an unknown team."""
-        held = self._held.get(team)
-        return held.document if held else TeamSettings()
+        """Return a team's settings, empty ones if the team is unknown."""
+        entry = self._entries.get(team)
+        return entry.document if entry else TeamSettings()
 
     def find_service(self, team: str, name: str) -> Service | None:
-        """Return a team's service by its name."""
+        """Return a team's service by its name, None if there is none."""
         return self.document_of(team).services.get(name)
 
     def find_model(self, team: str, model: str) -> str | None:
-        """Return the name of the service that serves a model."""
+        """Return the name of the service that serves a model, if any.
+
+        A service is found by its own name or by that of its model.
+        """
         for name, service in self.document_of(team).services.items():
             if service.kind == 'model' and model in {name, service.model}:
                 return name
         return None
 
     def identify(self, key: str) -> Organisation:
-        """Return the organisation a caller's key belongs to.
+        """Return the organisation that a caller's key belongs to.
 
         Raises
         ------
         RequestFailedError
             ``unauthenticated`` when no organisation has the key.
         """
-        # The look-up is by hash, so its timing tells nothing about the key.
+        # Looking up the hash instead of the key avoids a timing side channel.
         found = self._organisations.get(hash_secret(key))
         if found is None:
             raise RequestFailedError(ErrorKind.unauthenticated)
         return found
 
     def share_of(self, team: str, organisation: str) -> float:
-        """Return an organisation's weight in fair queueing."""
+        """Return an organisation's weight in fair queueing, 1 if unknown."""
         found = self.document_of(team).organisations.get(organisation)
         return found.share if found else 1.0
 
     def is_out(self, team: str, failure_domain: str) -> bool:
-        """Tell whether a team or the platform took a failure domain out."""
+        """Return whether a team or the platform set a failure domain to out."""
         for owner in (team, PLATFORM_TEAM):
             domains = self.document_of(owner).failure_domains
             domain = domains.get(failure_domain)
@@ -171,26 +186,26 @@
                 return True
         return False
 
-    def _parse(self, record: SettingsRecord) -> TeamSettings | None:
+    def _parse_document(self, record: SettingsRecord) -> TeamSettings | None:
         if not record.document:
             return TeamSettings()
         try:
             return msgspec.json.decode(record.document, type=TeamSettings)
         except msgspec.DecodeError as error:
-            # A record of a newer version of the system: keep what is in
-            # force rather than half of what is not understood.
+            # The record is of a newer version of the system. Keep the settings
+            # in force rather than apply those fields that are understood.
             log_event(
                 'settings_unreadable', 'ERROR', team=record.team, why=error
             )
             return None
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         self._organisations = {
             organisation.key_sha256: Organisation(
                 team, name, organisation.share
             )
-            for team, held in sorted(self._held.items())
-            for name, organisation in held.document.organisations.items()
+            for team, entry in sorted(self._entries.items())
+            for name, organisation in entry.document.organisations.items()
         }
         text = ','.join(
             f'{team}:{revision}'
--- a/tests/faultystore.py
+++ b/tests/faultystore.py
@@ -1,4 +1,4 @@
-"""A key-value service in memory whose swaps fail as told."""
+"""A key-value service in memory that injects faults into swaps."""
 
 import asyncio
 
@@ -7,7 +7,11 @@
 
 
 class FaultyStore(MemoryKeyValue):
-    """Fails as told: before a write, or after it took effect."""
+    """Injects one fault for each swap, in order.
+
+    A fault is ``before`` to fail without a write, ``after`` to fail once the
+    write took effect, or empty for no fault. Later swaps have none.
+    """
 
     def __init__(self, faults):
         super().__init__()
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Paths in settings documents, and acceptance of changes."""
+"""Tests of paths in settings documents and of changes to settings."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
     delete_at,
     find_differences,
     get_at,
-    overlap,
+    paths_overlap,
     put_at,
     split_path,
 )
@@ -29,7 +29,7 @@
 
 
 class PathTest(unittest.TestCase):
-    """Pure functions."""
+    """Functions on paths and documents."""
 
     @settings(derandomize=True, max_examples=200)
     @given(_PATHS, st.integers())
@@ -40,33 +40,33 @@
             get_at(delete_at(document, path), path)
         self.assertEqual(1, len(find_differences({}, document)))
 
-    def test_nothing_is_changed_in_place(self):
+    def test_documents_are_not_changed_in_place(self):
         before = {'a': {'b': 1}}
         put_at(before, ('a', 'b'), 2)
         delete_at(before, ('a', 'b'))
         self.assertEqual({'a': {'b': 1}}, before)
 
-    def test_below_a_leaf(self):
+    def test_put_below_a_leaf(self):
         with self.assertRaises(RequestFailedError):
             put_at({'a': 1}, ('a', 'b'), 2)
 
     def test_overlap(self):
         one = split_path('/a/b/')
-        self.assertTrue(overlap(one, split_path('a')))
-        self.assertTrue(overlap((), one))
-        self.assertFalse(overlap(one, split_path('a/c')))
+        self.assertTrue(paths_overlap(one, split_path('a')))
+        self.assertTrue(paths_overlap((), one))
+        self.assertFalse(paths_overlap(one, split_path('a/c')))
 
-    def test_longest_path(self):
+    def test_path_that_is_too_long(self):
         with self.assertRaises(RequestFailedError):
             split_path('a/' * 400)
 
 
-def make_request(path, setting, seen=None):
-    return ChangeRequest('t', path, 'put', setting, 'op', seen)
+def make_request(path, setting, seen_revision=None):
+    return ChangeRequest('t', path, 'put', setting, 'op', seen_revision)
 
 
 class EditorTest(unittest.TestCase):
-    """Changes under faults and races."""
+    """Changes with store faults, invalid values and conflicts."""
 
     @settings(derandomize=True, max_examples=25, deadline=None)
     @given(st.lists(st.sampled_from(['', 'before', 'after']), max_size=4))
@@ -86,10 +86,10 @@
         self.assertEqual(1, accepted.record.revision)
         self.assertEqual(1, len(await editor.read_history('t')))
 
-    def test_invalid_changes_nothing(self):
-        asyncio.run(self.refuse())
+    def test_invalid_change_writes_nothing(self):
+        asyncio.run(self.check_invalid_change())
 
-    async def refuse(self):
+    async def check_invalid_change(self):
         store = MemoryKeyValue()
         editor = SettingsEditor(store, SystemClock())
         with self.assertRaises(SettingsInvalidError) as caught:
@@ -97,10 +97,10 @@
         self.assertIn('/services/a/kind', caught.exception.faults[0])
         self.assertEqual(0, store.revision)
 
-    def test_conflict_names_the_winner(self):
-        asyncio.run(self.lose())
+    def test_conflict_reports_the_accepted_revision(self):
+        asyncio.run(self.check_conflict())
 
-    async def lose(self):
+    async def check_conflict(self):
         editor = SettingsEditor(MemoryKeyValue(), SystemClock())
         await editor.apply(make_request('services/a', {'kind': 'model'}))
         await editor.apply(make_request('services/b', {'kind': 'plain'}, 1))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The join of settings, under any order of records."""
+"""Tests of merging settings records and of looking up settings."""
 
 import json
 import unittest
@@ -17,7 +17,7 @@
 
 
 class MergeTest(unittest.TestCase):
-    """Records come late, twice and out of order."""
+    """Records that arrive late, twice and out of order."""
 
     @settings(derandomize=True, max_examples=200)
     @given(
@@ -53,7 +53,7 @@
             other.merge(make_record(team, revision))
         self.assertEqual(one.digest, other.digest)
 
-    def test_deletion_stays(self):
+    def test_old_record_does_not_revert_a_deletion(self):
         store = SettingsStore()
         store.merge(make_record('a', 2, ''))
         self.assertFalse(store.merge(make_record('a', 1, '{"services": {}}')))
@@ -65,16 +65,16 @@
         self.assertFalse(store.merge(make_record('a', 2, '{"new": 1}')))
         self.assertEqual(1, store.revision_of('a'))
 
-    def test_missing_records(self):
+    def test_records_newer_than_those_of_a_peer(self):
         store = SettingsStore()
         store.merge(make_record('a', 3))
         store.merge(make_record('b', 1))
-        missing = store.missing_from({'a': 2, 'b': 1})
-        self.assertEqual(['a'], [record.team for record in missing])
+        newer = store.records_newer_than({'a': 2, 'b': 1})
+        self.assertEqual(['a'], [record.team for record in newer])
 
 
 class LookUpTest(unittest.TestCase):
-    """Organisations, models and failure domains."""
+    """Look-ups of organisations, models and failure domains."""
 
     def setUp(self):
         self.store = SettingsStore()
