--- a/primrosewood/announce.py
+++ b/primrosewood/announce.py
@@ -1,4 +1,4 @@
-"""An endpoint's membership record, kept under a lease."""
+"""Publishes a process's membership record under a lease."""
 
 import asyncio
 
@@ -25,7 +25,19 @@
     team: str,
     service: str,
 ) -> MemberRecord:
-    """Return the record of a process whose links are listened for there."""
+    """Return the membership record of a process.
+
+    Parameters
+    ----------
+    settings
+        Settings of the process.
+    listen
+        Address where it accepts connections from its peers.
+    incarnation
+        Identifier of this run of the process.
+    team, service
+        Service that it belongs to.
+    """
     scheme = 'wss' if settings.tls else 'ws'
     return MemberRecord(
         name=settings.name,
@@ -39,21 +51,32 @@
 
 
 def parse_member(stored: bytes) -> MemberRecord:
-    """Return the record behind a value of the key-value service."""
+    """Return the record from its value in the key-value service."""
     return msgspec.json.decode(stored, type=MemberRecord)
 
 
 class Announcer:
     """Writes the record and renews its lease.
 
-    A lapsed lease is found at the next renewal and the record written anew;
-    losing it stops nothing at the endpoint, whose own door is what admits.
+    The next renewal detects an expired lease and writes the record again under
+    a new one. Losing the lease stops no work: the endpoint's own admission
+    decides which requests it accepts.
     """
 
     def __init__(
         self, store: KeyValue, member: MemberRecord, lease_seconds: int
     ) -> None:
-        """Start without a lease."""
+        """Create an announcer, without a lease until it first renews.
+
+        Parameters
+        ----------
+        store
+            The key-value service.
+        member
+            The record.
+        lease_seconds
+            Duration of the lease.
+        """
         self._store = store
         self._member = member
         self._lease_seconds = lease_seconds
@@ -61,29 +84,29 @@
         self._written = False
 
     async def run(self) -> None:
-        """Keep the record until cancelled."""
+        """Keep the record published until cancelled."""
         while True:
-            pause = self._lease_seconds / _RENEWALS_PER_LEASE
+            delay = self._lease_seconds / _RENEWALS_PER_LEASE
             try:
                 await self.renew()
             except StoreUnavailableError as error:
                 log_event('lease_not_renewed', 'WARNING', why=error)
-                pause = min(pause, _RETRY_SECONDS)
-            await asyncio.sleep(pause)
+                delay = min(delay, _RETRY_SECONDS)
+            await asyncio.sleep(delay)
 
     async def renew(self) -> None:
-        """Renew the lease, or take a new one and write the record."""
+        """Renew the lease, or obtain a new one and write the record."""
         if self._written and await self._store.keep_alive(self._lease):
             return
-        # The lease may stand while the write under it failed; without the
-        # flag the record would then never be written.
+        # The lease may have been granted and the write under it have failed.
+        # Without the flag, renewals would succeed without a record.
         self._written = False
         self._lease = await self._store.grant(self._lease_seconds)
         await self._write()
         self._written = True
 
     async def leave(self) -> None:
-        """Mark the record as leaving."""
+        """Publish the record marked as leaving."""
         self._member.leaving = True
         try:
             await self._write()
@@ -91,7 +114,7 @@
             log_event('leaving_not_written', 'WARNING', why=error)
 
     async def withdraw(self) -> None:
-        """Delete the record by ending its lease."""
+        """Delete the record by revoking its lease."""
         try:
             await self._store.revoke(self._lease)
         except StoreUnavailableError as error:
--- a/primrosewood/fleet.py
+++ b/primrosewood/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as one entry sees it: members, VM states, subsets, vetoes."""
+"""An entry's view of the fleet: members, VM states, subsets and vetoes."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -19,33 +19,34 @@
 
 __all__ = ('ENTRY_SERVICE', 'Fleet')
 
-# Entries are members too, of a service of their own.
+# Service name under which entries publish their own membership records.
 ENTRY_SERVICE = 'entry'
 
-_MERGE_SECONDS = 0.05
+_DEBOUNCE_SECONDS = 0.05
 
+# Team and name of a service.
 ServiceName = tuple[str, str]
 
 
 class Fleet:
-    """Endpoints by name and by service, with the subset this entry uses.
+    """Known members, and the subset of each service that this entry uses.
 
     Parameters
     ----------
     entry
-        Name of the entry, which decides its subset.
+        Name of the entry, from which its subsets are derived.
     store
-        Settings in force.
+        Settings in force, for subset sizes and failure domains.
     clock
         Source of monotonic time.
     timing
-        Local settings.
+        Timeouts from the local settings.
     """
 
     def __init__(
         self, entry: str, store: SettingsStore, clock: Clock, timing: Timing
     ) -> None:
-        """Start without endpoints."""
+        """Create a fleet without members."""
         self._entry = entry
         self._store = store
         self._clock = clock
@@ -57,12 +58,12 @@
 
     @property
     def views(self) -> dict[str, EndpointView]:
-        """All known endpoints by name."""
+        """All known members by name, entries included."""
         return self._views
 
     @property
     def endpoints(self) -> list[EndpointView]:
-        """All known members that are no entries."""
+        """All known members that are not entries."""
         return [
             view
             for view in self._views.values()
@@ -71,25 +72,25 @@
 
     @property
     def subset_names(self) -> set[str]:
-        """Endpoints that this entry keeps connected."""
+        """Names of the endpoints that this entry keeps connected."""
         return {
             view.name for subset in self._subsets.values() for view in subset
         }
 
     def changes(self, scheduler: AsyncIOScheduler) -> Observable[str]:
-        """Return membership changes, merged when many come at once.
+        """Return an observable of membership changes, debounced.
 
-        A failure domain that leaves brings hundreds of changes in a moment;
-        the subsets are then made once and not once for each.
+        When a whole failure domain leaves, hundreds of records change at once;
+        the subsets are then rebuilt once instead of for each change.
         """
         return self._changed.pipe(
             operators.throttle_with_timeout(
-                timedelta(seconds=_MERGE_SECONDS), scheduler
+                timedelta(seconds=_DEBOUNCE_SECONDS), scheduler
             )
         )
 
     def take_pair(self, key: str, pair: Pair | None) -> None:
-        """Take a change of a membership record."""
+        """Apply a changed or deleted membership record."""
         name = key.removeprefix(MEMBERS_PREFIX)
         if pair is None:
             view = self._views.get(name)
@@ -100,7 +101,7 @@
         self.take_member(parse_member(pair.stored))
 
     def take_member(self, member: MemberRecord) -> None:
-        """Take a membership record."""
+        """Add or update a member."""
         view = self._views.get(member.name)
         if view is None:
             view = EndpointView(member)
@@ -111,10 +112,10 @@
         self._changed.on_next(member.name)
 
     def take_vms(self, listed: dict[str, VmState]) -> None:
-        """Take a whole VM list.
+        """Apply a complete VM list.
 
-        A VM that was never on the list may be newer than the list, which
-        lags; one that was and is no longer has gone.
+        A VM that was never on the list is left as unseen, because the list may
+        lag behind a new VM. One that was on it and is missing now is gone.
         """
         gone = {vm: VmState.gone for vm in self._vm_states if vm not in listed}
         self._vm_states.update(gone)
@@ -124,42 +125,44 @@
             view.vm_state = self._vm_states.get(vm, VmState.unseen)
 
     def forget_dead(self) -> bool:
-        """Forget members that are gone; tell whether there were any."""
+        """Remove dead members; return whether there were any."""
         now = self._clock.monotonic()
-        # An endpoint that stood still past its lease comes back with the
-        # streams it had. Forgetting it before their resume time is over would
-        # lose them; it gets no new work meanwhile.
-        silence = self._timing.resume_seconds
+        # An endpoint that was paused past its lease still has its streams when
+        # it continues. It is kept, without new work, until they can no longer
+        # be resumed.
+        silence_timeout = self._timing.resume_seconds
         dead = [
             name
             for name, view in self._views.items()
-            if view.is_dead(now, silence)
+            if view.is_dead(now, silence_timeout)
         ]
         for name in dead:
             self._views.pop(name)
         return bool(dead)
 
     def rebuild(self) -> None:
-        """Choose the subsets anew from those that are not gone."""
+        """Remove dead members and select the subsets again."""
         self.forget_dead()
-        groups: dict[ServiceName, list[Candidate]] = {}
+        candidates_by_service: dict[ServiceName, list[Candidate]] = {}
         for view in self.endpoints:
             member = view.member
-            group = groups.setdefault((member.team, member.service), [])
-            group.append(Candidate(member.name, member.failure_domain))
+            candidates = candidates_by_service.setdefault(
+                (member.team, member.service), []
+            )
+            candidates.append(Candidate(member.name, member.failure_domain))
         self._subsets = {
-            service: self._choose(service, group)
-            for service, group in groups.items()
+            service: self._select_subset(service, candidates)
+            for service, candidates in candidates_by_service.items()
         }
 
     def subset(self, team: str, service: str) -> list[EndpointView]:
-        """Return the connected endpoints of a service."""
+        """Return the endpoints of a service in this entry's subset."""
         return self._subsets.get((team, service), [])
 
     def usable(
         self, team: str, service: str, excluded: Iterable[str] = ()
     ) -> list[EndpointView]:
-        """Return the endpoints of a service that may get new work."""
+        """Return the endpoints in the subset that may get new work."""
         return [
             view
             for view in self.subset(team, service)
@@ -167,11 +170,11 @@
         ]
 
     def vetoes(self, team: str, service: str) -> Counter[Veto]:
-        """Count why endpoints of a service get no new work."""
+        """Count the endpoints in the subset by their veto."""
         return Counter(self._veto(view) for view in self.subset(team, service))
 
     def veto_of(self, view: EndpointView) -> Veto:
-        """Return why an endpoint gets no new work."""
+        """Return why an endpoint gets no new work, or ``Veto.none``."""
         return self._veto(view)
 
     def _veto(self, view: EndpointView) -> Veto:
@@ -182,10 +185,10 @@
             self._store.is_out(member.team, member.failure_domain),
         )
 
-    def _choose(
-        self, service: ServiceName, group: list[Candidate]
+    def _select_subset(
+        self, service: ServiceName, candidates: list[Candidate]
     ) -> list[EndpointView]:
         found = self._store.find_service(*service)
-        size = found.subset if found else len(group)
-        names = select_subset(self._entry, group, size)
+        size = found.subset if found else len(candidates)
+        names = select_subset(self._entry, candidates, size)
         return [self._views[name] for name in names]
--- a/primrosewood/membership.py
+++ b/primrosewood/membership.py
@@ -1,10 +1,10 @@
-"""Which endpoints may get new work: three observers, none of them enough.
+"""Decides which endpoints are eligible for new work, from three sources.
 
-The VM list, the membership record under its lease and the heartbeat of the
-connection each lag in their own way. Any one of them that can be read may
-stop new work; work returns when all that can be read agree. A source that
-cannot be read has no vote, so a list or a service that is down does not
-empty the set.
+The sources are the VM list, the membership record under its lease and the
+heartbeat of the connection. Each lags in its own way, so none is sufficient
+alone. Any source that can be read can stop new work, which resumes once all
+that can be read agree. A source that cannot be read does not count: an outage
+of the VM list or of the key-value service does not empty the set.
 """
 
 from dataclasses import dataclass, field
@@ -17,7 +17,7 @@
 
 
 class VmState(StrEnum):
-    """What the VM list last said of a VM."""
+    """State of a VM according to the latest VM list."""
 
     unseen = 'unseen'
     live = 'live'
@@ -26,7 +26,7 @@
 
 
 class Veto(StrEnum):
-    """Why an endpoint gets no new work."""
+    """Reason why an endpoint gets no new work."""
 
     none = ''
     not_linked = 'not_linked'
@@ -44,30 +44,30 @@
 
 @dataclass(slots=True)
 class EndpointView:
-    """One endpoint as an entry sees it.
+    """State of one endpoint as observed by an entry.
 
     Attributes
     ----------
     member
-        Its membership record, the last one seen.
+        Latest membership record.
     leased
-        Whether the record still stands in the key-value service.
+        Whether the record is still present in the key-value service.
     vm_state
-        What the VM list last said.
+        State of its VM in the latest VM list.
     linked
-        Whether a connection stands.
+        Whether it is connected.
     incarnation
-        Incarnation that answered on the connection.
+        Incarnation of the process at the other end of the connection.
     heard_at
-        When anything last came over the connection, monotonic seconds.
+        Time of the last message on the connection, in monotonic seconds.
     load
-        Load it last reported.
+        Load that it last reported.
     digest
-        Digest of the settings it last said it holds.
+        Digest of its settings, from its last heartbeat.
     offered
-        Offers made since that report.
+        Requests offered to it since that load report.
     outstanding
-        Attempts of this entry that have not ended.
+        Attempts of this entry that are in flight there.
     """
 
     member: MemberRecord
@@ -88,44 +88,46 @@
 
     @property
     def pressure(self) -> float:
-        """Requests it has for each one it may run, own offers included."""
-        waiting = self.load.running + self.load.queued + self.offered
-        return waiting / max(1, self.load.limit)
+        """Ratio of running, queued and offered requests to its limit."""
+        requests = self.load.running + self.load.queued + self.offered
+        return requests / max(1, self.load.limit)
 
     def take_load(self, load: Load) -> None:
-        """Replace the load by a newer report."""
+        """Replace the load with a newer report and reset the offers."""
         self.load = load
         self.offered = 0
 
-    def veto(self, now: float, silence: float, domain_out: bool) -> Veto:
-        """Return why it gets no new work, ``Veto.none`` when it may.
+    def veto(
+        self, now: float, silence_timeout: float, domain_out: bool
+    ) -> Veto:
+        """Return why it gets no new work, ``Veto.none`` if it is eligible.
 
         Parameters
         ----------
         now
-            Monotonic seconds.
-        silence
-            Seconds without a word after which a peer counts as stalled.
+            Current time in monotonic seconds.
+        silence_timeout
+            Seconds without a message after which a peer counts as stalled.
         domain_out
-            Whether its failure domain is out.
+            Whether operators took its failure domain out.
         """
         if domain_out:
             return Veto.domain_out
         if not self.linked:
             return Veto.not_linked
-        if now - self.heard_at > silence:
+        if now - self.heard_at > silence_timeout:
             return Veto.silent
-        return self._stated_veto()
+        return self._reported_veto()
 
-    def is_dead(self, now: float, silence: float) -> bool:
-        """Tell whether it may be forgotten.
+    def is_dead(self, now: float, silence_timeout: float) -> bool:
+        """Return whether it counts as dead and may be removed.
 
-        A lapsed lease alone is a paused holder or a cut-off service, not a
-        death: the connection must be silent as well.
+        An expired lease alone is not enough: the endpoint may be paused or cut
+        off from the key-value service. The connection must be silent as well.
         """
-        return now - self.heard_at > silence and not self.leased
+        return now - self.heard_at > silence_timeout and not self.leased
 
-    def _stated_veto(self) -> Veto:
+    def _reported_veto(self) -> Veto:
         if self.vm_state in {VmState.leaving, VmState.gone}:
             return Veto.vm_leaving
         if self.leased and self.member.leaving:
--- a/primrosewood/vmlist.py
+++ b/primrosewood/vmlist.py
@@ -1,4 +1,4 @@
-"""The platform's VM list."""
+"""Reads the platform's list of VMs and their states."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 def parse_vm_list(body: bytes) -> dict[str, VmState]:
-    """Return the states of a list, a state we do not know counting as live.
+    """Return VM states by name; an unknown state counts as live.
 
     Raises
     ------
@@ -39,32 +39,42 @@
 
 
 class HttpVmList:
-    """Reads the list now and then; an unreadable list changes nothing."""
+    """Polls the list over HTTP; a list that cannot be read is skipped.
+
+    Parameters
+    ----------
+    url
+        URL of the list.
+    poll_seconds
+        Seconds between two reads.
+    on_list
+        Called with the states of each list that was read.
+    """
 
     def __init__(
         self,
         url: str,
-        pause: float,
-        take: Callable[[dict[str, VmState]], None],
+        poll_seconds: float,
+        on_list: Callable[[dict[str, VmState]], None],
     ) -> None:
-        """Take where to read and whom to tell."""
+        """Create a poller that has not read a list yet."""
         self._url = url
-        self._pause = pause
-        self._take = take
+        self._poll_seconds = poll_seconds
+        self._on_list = on_list
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Poll until cancelled."""
         timeout = aiohttp.ClientTimeout(total=_TIMEOUT_SECONDS)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 await self._read(session)
-                await asyncio.sleep(self._pause)
+                await asyncio.sleep(self._poll_seconds)
 
     async def _read(self, session: aiohttp.ClientSession) -> None:
         try:
             async with session.get(self._url) as response:
                 response.raise_for_status()
-                self._take(parse_vm_list(await response.read()))
+                self._on_list(parse_vm_list(await response.read()))
         except (
             aiohttp.ClientError,
             TimeoutError,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Three observers of an endpoint, and which of them may stop work."""
+"""Tests of which sources stop new work for an endpoint, and of the fleet."""
 
 import unittest
 
@@ -26,12 +26,12 @@
 
 
 class VetoTest(unittest.TestCase):
-    """Any observer that can be read may stop new work."""
+    """Any source that can be read may stop new work."""
 
     def veto(self, view, now=100.5, out=False):
         return view.veto(now, 2.5, out)
 
-    def test_each_observer_alone(self):
+    def test_each_source_alone(self):
         leaving = Load(running=0, queued=0, limit=1, leaving=True)
         refusing = Load(running=0, queued=0, limit=1, refusing=True)
         cases = (
@@ -49,14 +49,14 @@
             (make_view(load=leaving), {}, Veto.says_leaving),
             (make_view(load=refusing), {}, Veto.refusing),
         )
-        for view, given_more, veto in cases:
+        for view, arguments, veto in cases:
             with self.subTest(veto=veto):
-                self.assertEqual(veto, self.veto(view, **given_more))
+                self.assertEqual(veto, self.veto(view, **arguments))
 
-    def test_lapsed_lease_alone_is_no_death(self):
-        """A holder was paused past its lease, or the service cut it off.
+    def test_expired_lease_alone_does_not_mean_dead(self):
+        """An endpoint is paused past its lease or cut off from the service.
 
-        It still answers on its connection, so callers' work goes on there.
+        It still answers on its connection, so its requests continue there.
         """
         view = make_view(leased=False)
         self.assertEqual(Veto.none, self.veto(view))
@@ -113,7 +113,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Lists that lag or fall silent."""
+    """VM lists that lag, and dead members."""
 
     def setUp(self):
         self.fleet = Fleet('entry-1', SettingsStore(), SystemClock(), Timing())
@@ -124,18 +124,18 @@
     def state(self, name):
         return self.fleet.views[name].vm_state
 
-    def test_new_vm_that_the_list_does_not_show_yet(self):
+    def test_new_vm_that_is_not_on_the_list_yet(self):
         self.fleet.take_vms({'e1': VmState.live})
         self.assertEqual(VmState.unseen, self.state('e2'))
 
-    def test_vm_that_vanishes_from_the_list(self):
+    def test_vm_that_is_removed_from_the_list(self):
         self.fleet.take_vms({'e1': VmState.live, 'e2': VmState.live})
         self.fleet.take_vms({'e1': VmState.live})
         self.assertEqual(VmState.gone, self.state('e2'))
         self.fleet.take_vms({'e1': VmState.live, 'e2': VmState.live})
         self.assertEqual(VmState.live, self.state('e2'))
 
-    def test_dead_members_are_forgotten(self):
+    def test_dead_members_are_removed(self):
         self.fleet.take_pair('primrosewood/members/e2', None)
         self.fleet.rebuild()
         self.assertEqual(['e1'], list(self.fleet.views))
