--- a/primrosewood/clock.py
+++ b/primrosewood/clock.py
@@ -1,4 +1,4 @@
-"""Clocks and random sources, so that decisions can be tested and replayed."""
+"""Clocks and random sources that tests and replays can replace."""
 
 import random
 import time
@@ -9,17 +9,17 @@
 
 
 class Clock(Protocol):
-    """A source of time in seconds."""
+    """A source of monotonic and wall-clock time."""
 
     def monotonic(self) -> float:
-        """Return seconds that never go back."""
+        """Return the monotonic time in seconds."""
 
     def wall(self) -> float:
-        """Return seconds since the Unix epoch."""
+        """Return the wall-clock time in seconds since the Unix epoch."""
 
 
 class RandomSource(Protocol):
-    """The part of :class:`random.Random` that decisions use."""
+    """The methods of :class:`random.Random` that the system uses."""
 
     def random(self) -> float:
         """Return a number in [0, 1)."""
@@ -29,17 +29,17 @@
 
 
 class SystemClock:
-    """The machine's clocks."""
+    """The clocks of the operating system."""
 
     def monotonic(self) -> float:
-        """Return seconds that never go back."""
+        """Return the monotonic time in seconds."""
         return time.monotonic()
 
     def wall(self) -> float:
-        """Return seconds since the Unix epoch."""
+        """Return the wall-clock time in seconds since the Unix epoch."""
         return time.time()
 
 
 def make_random(seed: int | None = None) -> random.Random:
-    """Return a random source; from the system's entropy without a seed."""
+    """Return a random source, seeded from the system's entropy if None."""
     return random.Random(seed)
--- a/primrosewood/codec.py
+++ b/primrosewood/codec.py
@@ -1,4 +1,4 @@
-"""Frames between processes: a CBOR array of (code, fields) messages."""
+"""Serialises frames, which are CBOR arrays of (code, fields) messages."""
 
 from types import MappingProxyType
 from typing import Any
@@ -13,9 +13,10 @@
 
 Message = msgspec.Struct
 
-_NATIVE = (bytes,)
+_PASSTHROUGH_TYPES = (bytes,)
 
-# A code is never reused: a peer of another version must not misread it.
+# The code of a message type is never reused, so that a peer of another version
+# cannot misinterpret it.
 _CODES = MappingProxyType(
     {
         wire.Hello: 1,
@@ -48,12 +49,14 @@
         wire.LimitTold: 28,
     }
 )
-_TYPES = MappingProxyType({code: kind for kind, code in _CODES.items()})
+_MESSAGE_TYPES = MappingProxyType(
+    {code: message_type for message_type, code in _CODES.items()}
+)
 
 
 def serialise_frame(messages: list[Message]) -> bytes:
-    """Return one frame that carries the messages in order."""
-    return cbor2.dumps([_to_pair(message) for message in messages])
+    """Return a frame that contains the messages in order."""
+    return cbor2.dumps([_encode_message(message) for message in messages])
 
 
 def parse_frame(frame: bytes) -> list[Message]:
@@ -64,32 +67,36 @@
     WireError
         The frame is not CBOR, or a message does not match the schema.
     """
-    # cbor2 raises errors of many kinds on hostile bytes (RecursionError and
-    # OverflowError among them); any of them must end in a closed connection,
-    # never in a stopped process.
+    # cbor2 raises many kinds of errors on malicious input, RecursionError and
+    # OverflowError among them. Each must close the connection and none may stop
+    # the process.
     try:
-        pairs = cbor2.loads(frame)
+        encoded_messages = cbor2.loads(frame)
     except Exception as error:
         raise WireError(f'not CBOR: {type(error).__name__}') from error
-    if not isinstance(pairs, list):
-        raise WireError('a frame is an array')
-    return [_from_pair(pair) for pair in pairs]
+    if not isinstance(encoded_messages, list):
+        raise WireError('a frame must be an array')
+    return [_decode_message(encoded) for encoded in encoded_messages]
 
 
-def _to_pair(message: Message) -> list[Any]:
+def _encode_message(message: Message) -> list[Any]:
     return [
         _CODES[type(message)],
-        msgspec.to_builtins(message, builtin_types=_NATIVE),
+        msgspec.to_builtins(message, builtin_types=_PASSTHROUGH_TYPES),
     ]
 
 
-def _from_pair(pair: Any) -> Message:
+def _decode_message(encoded: Any) -> Message:
     try:
-        code, fields = pair
-        kind = _TYPES[code]
+        code, fields = encoded
+        message_type = _MESSAGE_TYPES[code]
     except (TypeError, ValueError, KeyError) as error:
-        raise WireError('a message is a known code and its fields') from error
+        raise WireError(
+            'a message must be a known code and its fields'
+        ) from error
     try:
-        return msgspec.convert(fields, kind, builtin_types=_NATIVE)
+        return msgspec.convert(
+            fields, message_type, builtin_types=_PASSTHROUGH_TYPES
+        )
     except (msgspec.ValidationError, RecursionError) as error:
-        raise WireError(f'{kind.__name__}: {error}') from error
+        raise WireError(f'{message_type.__name__}: {error}') from error
--- a/primrosewood/config.py
+++ b/primrosewood/config.py
@@ -1,4 +1,4 @@
-"""Local settings and key files of a process, checked before use."""
+"""Reads and validates a process's local settings and key files."""
 
 import ssl
 from dataclasses import dataclass
@@ -26,7 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessConfig:
-    """A process's checked settings and keys."""
+    """A process's validated settings and keys.
+
+    Attributes
+    ----------
+    settings
+        The settings file.
+    keys
+        The key file that it names.
+    folder
+        Folder of the settings file, to which its paths are relative.
+    """
 
     settings: ProcessSettings
     keys: Keys
@@ -34,36 +44,38 @@
 
 
 def check_document(document: Any, schema: str) -> None:
-    """Check a JSON document against one of the package's schemas.
+    """Validate a JSON document against one of the package's schemas.
 
     Parameters
     ----------
     document
         Decoded JSON.
     schema
-        Name of the schema: ``team``, ``process`` or ``keys``.
+        Name of the schema: ``team``, ``process``, ``node`` or ``keys``.
 
     Raises
     ------
     SettingsInvalidError
-        With one line for each fault, led by its path.
+        The document does not match; the error has a line for each fault,
+        which starts with its path.
     """
-    # Python's JSON reader takes numbers that no other process could read.
+    # The document is to be decoded by msgspec: Python's own JSON reader accepts
+    # numbers that other processes cannot read.
     faults = [
         f'{_format_path(fault.instance_path)}: {fault.message}'
-        for fault in _validator(schema).iter_errors(document)
+        for fault in _make_validator(schema).iter_errors(document)
     ]
     if faults:
         raise SettingsInvalidError(sorted(faults))
 
 
 def load_config(path: str) -> ProcessConfig:
-    """Read and check a settings file and the key file it names.
+    """Read and validate a settings file and the key file it names.
 
     Raises
     ------
     SettingsInvalidError
-        A file is missing, is no JSON or does not match its schema.
+        A file is missing, is not JSON or does not match its schema.
     """
     file = Path(path)
     document = _read_json(file)
@@ -76,19 +88,20 @@
 
 
 def load_node(path: str, role: str) -> NodeSettings:
-    """Read and check the settings of a process that calls back ends directly.
+    """Read and validate settings of a process that calls back ends directly.
 
     Parameters
     ----------
     path
-        JSON file.
+        Path of the JSON file.
     role
         Section that the process needs: ``entry`` or ``endpoint``.
 
     Raises
     ------
     SettingsInvalidError
-        The file is missing, is no JSON or does not match its schema.
+        The file is missing, is not JSON, does not match its schema or lacks
+        the section.
     """
     document = _read_json(Path(path))
     check_document(document, 'node')
@@ -100,12 +113,12 @@
 def require_section(
     settings: NodeSettings | ProcessSettings, role: str
 ) -> None:
-    """Check that settings have the section of a program.
+    """Check that settings have the section that a program needs.
 
     Raises
     ------
     SettingsInvalidError
-        They do not.
+        The section is missing.
     """
     if not getattr(settings, role):
         raise SettingsInvalidError([f'/{role}: this section is missing'])
@@ -114,22 +127,25 @@
 def make_contexts(
     tls: TlsSettings | None, folder: Path
 ) -> tuple[ssl.SSLContext | None, ssl.SSLContext | None]:
-    """Return the TLS contexts for listening and for connecting.
+    """Return the TLS contexts of servers and clients, in this order.
 
-    Both are None where no certificate is set.
+    Both are None if the settings have no TLS section.
     """
     if not tls:
         return None, None
-    chain = (folder / tls.certificate_file, folder / tls.private_key_file)
+    certificate_and_key = (
+        folder / tls.certificate_file,
+        folder / tls.private_key_file,
+    )
     authority = tls.authority_file and str(folder / tls.authority_file)
     server = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
-    server.load_cert_chain(*chain)
+    server.load_cert_chain(*certificate_and_key)
     client = ssl.create_default_context(cafile=authority or None)
-    client.load_cert_chain(*chain)
+    client.load_cert_chain(*certificate_and_key)
     return server, client
 
 
-def _validator(schema: str) -> jsonschema_rs.Draft202012Validator:
+def _make_validator(schema: str) -> jsonschema_rs.Draft202012Validator:
     text = resources.files(__package__).joinpath('schema', f'{schema}.json')
     return jsonschema_rs.Draft202012Validator(
         msgspec.json.decode(text.read_bytes())
--- a/primrosewood/identity.py
+++ b/primrosewood/identity.py
@@ -1,4 +1,4 @@
-"""Names that processes give to requests, attempts and themselves."""
+"""Random identifiers, hashes of secrets and digests."""
 
 import hashlib
 import hmac
@@ -16,7 +16,7 @@
 
 _IDENTIFIER_BYTES = 8
 _DIGEST_DIGITS = 32
-_TEMPLATE_CHARACTERS = 48
+_TEMPLATE_PREFIX_CHARACTERS = 48
 
 
 def make_identifier() -> str:
@@ -25,26 +25,31 @@
 
 
 def hash_secret(secret: str) -> str:
-    """Return the SHA-256 of a key in hexadecimal digits."""
+    """Return the SHA-256 hash of a secret in hexadecimal digits."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
 def match_secret(secret: str, expected_sha256: str) -> bool:
-    """Compare a key with a stored hash in constant time."""
+    """Compare a secret with a stored SHA-256 hash in constant time."""
     return hmac.compare_digest(hash_secret(secret), expected_sha256)
 
 
 def digest_template(prompt: str) -> str:
-    """Return a short digest of what a prompt begins with.
+    """Return a short digest of the start of a prompt.
 
-    Prompts made from one template begin alike, and their answers are of like
-    lengths; the digest tells templates apart without keeping any prompt.
+    Prompts that are made from one template start alike, and their answers have
+    similar lengths. The digest distinguishes templates without storing the
+    prompt.
     """
-    start = prompt[:_TEMPLATE_CHARACTERS].encode()
+    start = prompt[:_TEMPLATE_PREFIX_CHARACTERS].encode()
     return xxhash.xxh32_hexdigest(start)
 
 
 def digest_key(*parts: str) -> str:
-    """Return a digest of the parts that no other list of parts shares."""
+    """Return a digest of a sequence of strings.
+
+    Each string is prefixed with its length, so that sequences that concatenate
+    to the same text have different digests.
+    """
     framed = ''.join(f'{len(part)}:{part}' for part in parts)
     return hashlib.sha256(framed.encode()).hexdigest()[:_DIGEST_DIGITS]
--- a/primrosewood/reload.py
+++ b/primrosewood/reload.py
@@ -1,4 +1,4 @@
-"""Changes of a process's settings file while it runs."""
+"""Reloads a process's settings file while the process runs."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,38 +14,41 @@
 
 __all__ = ('Node', 'SettingsReloader', 'digest_settings')
 
-# The file may change without a signal; asking for its time costs a few
-# microseconds, and bounds may wait this long.
-_LOOK_SECONDS = 1.0
-# What a running process takes on; addresses are those of its VM.
-_TAKEN = 'limits'
+# The file may be replaced without a signal to the process. Checking its
+# modification time takes a few microseconds, and changed limits may take effect
+# this late.
+_POLL_SECONDS = 1.0
+# The field that a running process can apply. Other changes, such as of
+# addresses, need a restart.
+_RELOADABLE_FIELD = 'limits'
 
-Stamp = tuple[int, int, int]
+# Modification time in nanoseconds, size and inode of a file.
+FileVersion = tuple[int, int, int]
 
 
 class Node(Protocol):
-    """A program that runs until it is asked to stop."""
+    """A program that runs until it is stopped and can reload its limits."""
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Run until the event is set, then end gracefully."""
+        """Run until the event is set, then shut down gracefully."""
 
     def reload(self, settings: NodeSettings) -> None:
-        """Take on the limits of changed settings."""
+        """Apply the limits of changed settings."""
 
 
 class SettingsReloader:
-    """Follows a settings file and hands valid changes to the program.
+    """Watches a settings file and applies valid changes to the program.
 
     Parameters
     ----------
     path
-        The settings file.
+        Path of the settings file.
     load
-        Reads and checks it.
+        Reads and validates it.
     node
-        Takes changed settings on.
+        Program that applies changed limits.
     running
-        The settings with which the program began.
+        Settings with which the program started.
     """
 
     def __init__(
@@ -55,57 +58,62 @@
         node: Node,
         running: NodeSettings,
     ) -> None:
-        """Take the file as it is for the settings that run."""
+        """Assume that the file currently holds the running settings."""
         self._path = Path(path)
         self._load = load
         self._node = node
         self._running = running
-        self._stamp = self._read_stamp()
+        self._file_version = self._read_file_version()
 
     async def run(self) -> None:
-        """Look for changes until cancelled."""
+        """Poll the file for changes until cancelled."""
         while True:
-            await asyncio.sleep(_LOOK_SECONDS)
-            if self._read_stamp() != self._stamp:
+            await asyncio.sleep(_POLL_SECONDS)
+            if self._read_file_version() != self._file_version:
                 self.reload()
 
     def reload(self) -> None:
-        """Read the file; keep what runs where it does not hold."""
-        self._stamp = self._read_stamp()
+        """Read the file and apply it; keep the old settings if invalid."""
+        self._file_version = self._read_file_version()
         try:
-            found = self._load()
+            loaded = self._load()
         except SettingsInvalidError as error:
             log_event('reload_refused', 'ERROR', why=error)
             return
-        changed = _list_changed(self._running, found)
-        if _TAKEN in changed:
-            self._node.reload(found)
-        self._running = found
-        waiting = ','.join(name for name in changed if name != _TAKEN)
+        changed = _list_changed_fields(self._running, loaded)
+        if _RELOADABLE_FIELD in changed:
+            self._node.reload(loaded)
+        self._running = loaded
+        pending = ','.join(
+            name for name in changed if name != _RELOADABLE_FIELD
+        )
         log_event(
             'reloaded',
-            digest=digest_settings(found),
+            digest=digest_settings(loaded),
             changed=bool(changed),
-            needs_restart=waiting or None,
+            needs_restart=pending or None,
         )
 
-    def _read_stamp(self) -> Stamp | None:
+    def _read_file_version(self) -> FileVersion | None:
         try:
-            found = self._path.stat()
+            status = self._path.stat()
         except OSError:
-            # A file that is being replaced; reading it says more.
+            # The file may be in the middle of a replacement. If it is missing
+            # for good, loading it reports the error.
             return None
-        return found.st_mtime_ns, found.st_size, found.st_ino
+        return status.st_mtime_ns, status.st_size, status.st_ino
 
 
 def digest_settings(settings: NodeSettings) -> str:
-    """Return a short digest by which logs tell settings apart."""
+    """Return a short digest that identifies settings in logs."""
     return xxhash.xxh32_hexdigest(msgspec.json.encode(settings))
 
 
-def _list_changed(running: NodeSettings, found: NodeSettings) -> list[str]:
+def _list_changed_fields(
+    running: NodeSettings, loaded: NodeSettings
+) -> list[str]:
     return [
         name
         for name in running.__struct_fields__
-        if getattr(running, name) != getattr(found, name)
+        if getattr(running, name) != getattr(loaded, name)
     ]
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames, as they are sent and as an enemy sends them."""
+"""Tests of the codec with valid, random and malicious frames."""
 
 import unittest
 
@@ -37,16 +37,16 @@
 
 
 class CodecTest(unittest.TestCase):
-    """Round trips and refusals."""
+    """Round trips and rejected frames."""
 
-    def test_every_message_comes_back(self):
+    def test_round_trip_of_messages(self):
         self.assertEqual(_MESSAGES, parse_frame(serialise_frame(_MESSAGES)))
 
-    def test_newer_peer_appends_a_field(self):
+    def test_unknown_trailing_field_is_ignored(self):
         frame = cbor2.dumps([[15 - 1, ['a', 4, 'new']]])
         self.assertEqual([wire.Credit('a', 4)], parse_frame(frame))
 
-    def test_refuses_what_is_no_frame(self):
+    def test_malformed_frames_are_rejected(self):
         for data in (7, 'text', [7], [[1]], [[99, []]], [[10, ['a', -1, []]]]):
             with self.assertRaises(WireError):
                 parse_frame(cbor2.dumps(data))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Local settings, key files and TLS."""
+"""Tests of local settings, key files and TLS contexts."""
 
 import asyncio
 import json
@@ -30,7 +30,7 @@
 
 
 class LoadTest(unittest.TestCase):
-    """Files are checked whole, each fault with its path."""
+    """Validation of files, with the path of each fault."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -61,18 +61,18 @@
         for path in ('/timing/poll_seconds: ', '/limits/body_bytes: '):
             self.assertTrue(any(each.startswith(path) for each in faults))
 
-    def test_files_that_are_missing_or_no_json(self):
+    def test_missing_files_and_invalid_json(self):
         self.assertIn('none.json', self.faults(key_file='none.json')[0])
         (self.folder / 'bad.json').write_text('{')
         self.assertIn('bad.json', self.faults(key_file='bad.json')[0])
 
-    def test_short_keys_are_refused(self):
+    def test_short_keys_are_rejected(self):
         (self.folder / 'keys.json').write_text(
             json.dumps({**_KEYS, 'process_key': 'short'})
         )
         self.assertTrue(self.faults()[0].startswith('/process_key'))
 
-    def test_team_names(self):
+    def test_invalid_service_name(self):
         with self.assertRaises(SettingsInvalidError):
             check_document(
                 {'services': {'Bad Name': {'kind': 'model'}}}, 'team'
@@ -80,7 +80,7 @@
 
 
 class TlsTest(unittest.IsolatedAsyncioTestCase):
-    """Links under certificates of the team's own authority."""
+    """Connections with certificates of the team's own authority."""
 
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -93,8 +93,8 @@
         issued.cert_chain_pems[0].write_to_path(self.folder / 'cert.pem')
         self.tls = TlsSettings('cert.pem', 'key.pem', 'authority.pem')
 
-    async def test_link_under_tls(self):
-        """A peer of the same authority is greeted, one without it is not."""
+    async def test_connection_with_tls(self):
+        """A peer that trusts the authority connects, another one does not."""
         server_tls, client_tls = make_contexts(self.tls, self.folder)
         load = wire.Load(running=0, queued=0, limit=1)
         welcome = wire.Welcome('e1', 'i', 'd', load)
@@ -114,5 +114,5 @@
                 async with connect(url):
                     self.fail('an unknown authority was trusted')
 
-    def test_no_certificate_no_contexts(self):
+    def test_no_contexts_without_certificate(self):
         self.assertEqual((None, None), make_contexts(None, self.folder))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Changes of a settings file while a program runs."""
+"""Tests of reloading a settings file while a program runs."""
 
 import json
 import tempfile
@@ -12,7 +12,7 @@
 
 
 class _Node:
-    """Remembers what it was told to take on."""
+    """Records the limits that it is asked to apply."""
 
     def __init__(self):
         self.limits = []
@@ -22,7 +22,7 @@
 
 
 class ReloaderTest(unittest.TestCase):
-    """What is taken on, and what is kept."""
+    """Changes that are applied, deferred or rejected."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -46,20 +46,20 @@
         self.write({**self.settings, 'limits': limits, **fields})
         self.reloader.reload()
 
-    def test_limits_are_taken_on(self):
+    def test_limits_are_applied(self):
         self.change(7)
         self.change(7)
         self.change(9)
         self.assertEqual([7, 9], self.node.limits)
 
-    def test_addresses_wait_for_a_restart(self):
+    def test_addresses_need_a_restart(self):
         self.change(50, host='127.0.0.2')
         self.assertEqual([], self.node.limits)
 
-    def test_what_does_not_hold_is_refused(self):
-        """An operator's template loses a field for a moment.
+    def test_invalid_file_is_rejected(self):
+        """An operator's template drops a field for a moment.
 
-        The process goes on with what it had, and takes the next whole file.
+        The process keeps its settings and applies the next valid file.
         """
         for text in ('{', '{}', '[1]', '{"name": 5}'):
             self.file.write_text(text)
