--- a/bench/claims_rate.py
+++ b/bench/claims_rate.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from primrosewood.claimrouter import choose_writer
-from primrosewood.claims import ClaimKeeper, Wish, shard_of
+from primrosewood.claims import ClaimKeeper, ClaimProposal, shard_of
 from primrosewood.clock import SystemClock
 from primrosewood.gen_process import ClaimSettings
 from primrosewood.gen_wire import ClaimRecord
@@ -114,6 +114,6 @@
     keeper: ClaimKeeper, record: ClaimRecord, took: list[float]
 ) -> bool:
     started = time.monotonic()
-    result = await keeper.claim(Wish(record))
+    result = await keeper.claim(ClaimProposal(record))
     took.append(time.monotonic() - started)
     return result.granted
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -14,7 +14,7 @@
 from primrosewood.gen_wire import Load, SettingsRecord
 from primrosewood.routing import PressurePolicy, Work
 from primrosewood.settings import SettingsStore
-from primrosewood.warmup import Targets
+from primrosewood.warmup import ConcurrencyTargets
 
 from .lines import Line
 
@@ -108,7 +108,9 @@
 
 
 def _time_admission(organisations: int) -> float:
-    targets = Targets(start=64, most=64, first_token=1, between_tokens=0.1)
+    targets = ConcurrencyTargets(
+        start=64, most=64, first_token=1, between_tokens=0.1
+    )
     admission = Admission(SystemClock(), targets, 256, 100_000)
     for number in range(organisations * 2):
         _serve(admission, number, organisations)
@@ -129,10 +131,10 @@
             kind='whole',
             template=f't{number % 20}',
             prompt_tokens=20,
-            longest=4000,
+            max_output_tokens=4000,
             patience=5,
             seconds_left=60,
         )
     )
-    admission.note_tokens(name, 40, 40)
+    admission.record_tokens(name, 40, 40)
     admission.finish(name, 40 + number % 50, whole=True)
--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -4,29 +4,29 @@
 
 from primrosewood.admission import Admission
 from primrosewood.clock import Clock
-from primrosewood.lengths import HORIZONS, LengthBook, Outlook
-from primrosewood.memory import Booking, MemoryBook
-from primrosewood.warmup import Targets
+from primrosewood.lengths import HORIZONS, LengthPredictor, LengthForecast
+from primrosewood.memory import Reservation, MemoryTracker
+from primrosewood.warmup import ConcurrencyTargets
 
 _SPARE = 0.01
 
 
-class OracleLengths(LengthBook):
+class OracleLengths(LengthPredictor):
     """Reads each length from the kind of request, where the bench puts it."""
 
-    def predict(self, group: tuple[str, ...], produced: int) -> Outlook:
+    def predict(self, group: tuple[str, ...], produced: int) -> LengthForecast:
         """Return the true remaining length."""
         left = max(0, int(group[0]) - produced)
         alive = tuple(float(left > ahead) for ahead in HORIZONS)
-        return Outlook(alive, left)
+        return LengthForecast(alive, left)
 
 
-class OracleMemory(MemoryBook):
+class OracleMemory(MemoryTracker):
     """Admits when the true peak of memory stays under the capacity."""
 
-    def fits(self, booking: Booking) -> bool:
+    def fits(self, reservation: Reservation) -> bool:
         """Tell whether no step until the last end runs out of memory."""
-        streams = [*self._bookings.values(), booking]
+        streams = [*self._reservations.values(), reservation]
         if len(streams) == 1:
             return True
         left = [
@@ -46,7 +46,11 @@
     """The system's admission with the oracle's memory book."""
 
     def __init__(
-        self, clock: Clock, targets: Targets, queue_length: int, capacity: int
+        self,
+        clock: Clock,
+        targets: ConcurrencyTargets,
+        queue_length: int,
+        capacity: int,
     ) -> None:
         """Replace lengths and memory by those that know."""
         super().__init__(clock, targets, queue_length, capacity)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -91,7 +91,7 @@
         streamed=kind.streamed,
         prompt_tokens=source.randint(*kind.prompt),
         length=length,
-        longest=LONGEST,
+        max_output_tokens=LONGEST,
         arrival=at,
         deadline=at + kind.deadline,
     )
--- a/bench/world.py
+++ b/bench/world.py
@@ -16,7 +16,7 @@
 from primrosewood.membership import EndpointView
 from primrosewood.retries import RetryBudget, jitter
 from primrosewood.routing import Policy, Work
-from primrosewood.warmup import Targets
+from primrosewood.warmup import ConcurrencyTargets
 from standins.enginemodel import EngineModel, EngineShape, ModelStream, Step
 
 REPORT_SECONDS = 1.0
@@ -52,7 +52,7 @@
     streamed: bool
     prompt_tokens: int
     length: int
-    longest: int
+    max_output_tokens: int
     arrival: float
     deadline: float
     engine: str = ''
@@ -131,7 +131,7 @@
             kind='streamed' if job.streamed else 'whole',
             template=job.kind if self._world.templates else '',
             prompt_tokens=job.prompt_tokens,
-            longest=job.longest,
+            max_output_tokens=job.max_output_tokens,
             patience=min(
                 self._world.queue_seconds,
                 job.deadline - self._world.clock.now,
@@ -169,7 +169,7 @@
         fresh = self.model.preemptions - self._reported_preemptions
         self._reported_preemptions = self.model.preemptions
         if self.admission is not None:
-            self.admission.memory.note_preemptions(fresh)
+            self.admission.memory.record_preemptions(fresh)
 
     def drain_queue(self) -> list[Job]:
         """Take out all that waits, as a failure domain that is out does."""
@@ -210,7 +210,7 @@
     def _take_token(self, job: Job) -> None:
         self._world.note_token(job)
         if self.admission is not None:
-            self.admission.note_tokens(job.name, job.stream.produced, 1)
+            self.admission.record_tokens(job.name, job.stream.produced, 1)
 
     def _finish(self, job: Job) -> None:
         now = self._world.clock.now
@@ -460,7 +460,9 @@
         self.schedule(self.clock.now + TICK_SECONDS, self._tick)
 
 
-def make_targets(shape: EngineShape, start: int = _START_LIMIT) -> Targets:
+def make_targets(
+    shape: EngineShape, start: int = _START_LIMIT
+) -> ConcurrencyTargets:
     """Return targets scaled to an engine: its step at a full batch, and more.
 
     The letter's 25 ms stand for a real engine; a model engine's own figure is
@@ -468,7 +470,7 @@
     """
     batch = shape.capacity / 500
     step = (shape.step + shape.step_each * batch) * 1.2
-    return Targets(
+    return ConcurrencyTargets(
         start=start,
         most=_MOST_RUNNING,
         first_token=0.73,
--- a/primrosewood/admission.py
+++ b/primrosewood/admission.py
@@ -6,9 +6,9 @@
 from .errors import ErrorKind, NotRunError
 from .fairness import FairQueue, Waiting
 from .gen_wire import Load
-from .lengths import LengthBook
-from .memory import Booking, MemoryBook
-from .warmup import ConcurrencyLimit, Targets
+from .lengths import LengthPredictor
+from .memory import Reservation, MemoryTracker
+from .warmup import ConcurrencyLimit, ConcurrencyTargets
 
 __all__ = ('Admission', 'AdmissionRequest')
 
@@ -44,7 +44,7 @@
     kind: str
     template: str
     prompt_tokens: int
-    longest: int
+    max_output_tokens: int
     patience: float
     seconds_left: float
 
@@ -58,7 +58,11 @@
     """Limit, memory and fair queue of one endpoint, without I/O."""
 
     def __init__(
-        self, clock: Clock, targets: Targets, queue_length: int, capacity: int
+        self,
+        clock: Clock,
+        targets: ConcurrencyTargets,
+        queue_length: int,
+        capacity: int,
     ) -> None:
         """Start cold, with nothing running.
 
@@ -75,8 +79,8 @@
         """
         self._clock = clock
         self.limit = ConcurrencyLimit(targets)
-        self.lengths = LengthBook()
-        self.memory = MemoryBook(capacity, self.lengths)
+        self.lengths = LengthPredictor()
+        self.memory = MemoryTracker(capacity, self.lengths)
         self.queue = FairQueue(queue_length)
         self._running: dict[str, AdmissionRequest] = {}
         self._requests: dict[str, AdmissionRequest] = {}
@@ -164,7 +168,7 @@
         self._requests.pop(name)
         return True
 
-    def note_tokens(self, name: str, produced: int, added: int) -> None:
+    def record_tokens(self, name: str, produced: int, added: int) -> None:
         """Count tokens produced for a running request."""
         self.memory.grow(name, produced)
         request = self._running.get(name)
@@ -220,13 +224,13 @@
     def _fits(self, request: AdmissionRequest) -> bool:
         if self.running >= self.limit.limit:
             return False
-        return self.memory.fits(_make_booking(request))
+        return self.memory.fits(_make_reservation(request))
 
     def _start(self, request: AdmissionRequest) -> None:
         self._running[request.name] = request
         self._started_at[request.name] = self._clock.monotonic()
         self._requests[request.name] = request
-        self.memory.add(request.name, _make_booking(request))
+        self.memory.add(request.name, _make_reservation(request))
         self.queue.charge(
             request.organisation, request.share, request.prompt_tokens
         )
@@ -240,7 +244,7 @@
                 name=request.name,
                 organisation=request.organisation,
                 share=request.share,
-                expected=min(expected, request.longest),
+                expected=min(expected, request.max_output_tokens),
                 since=now,
                 until=now + request.patience,
                 deadline=now + request.seconds_left,
@@ -254,9 +258,9 @@
         self._mean_seconds += _DURATION_MEMORY * (seconds - self._mean_seconds)
 
 
-def _make_booking(request: AdmissionRequest) -> Booking:
-    return Booking(
+def _make_reservation(request: AdmissionRequest) -> Reservation:
+    return Reservation(
         group=request.group,
         prompt=request.prompt_tokens,
-        longest=request.longest,
+        max_output_tokens=request.max_output_tokens,
     )
--- a/primrosewood/backendset.py
+++ b/primrosewood/backendset.py
@@ -165,12 +165,12 @@
         """Return seconds since the last report, None without one."""
         return None if self.state is None else now - self.state_at
 
-    def take_state(self, state: EngineState, now: float) -> None:
+    def update_state(self, state: EngineState, now: float) -> None:
         """Note the engine's own report."""
         self.state_at = now
         self._replace_state(state)
 
-    def drop_old_state(self, now: float) -> bool:
+    def drop_stale_state(self, now: float) -> bool:
         """Forget a report that no newer one follows; tell whether it was.
 
         What was opened since is added to a report, so that an old one would
@@ -190,7 +190,7 @@
         """Pass it over for a moment, as it did not take a call."""
         self.suspect_until = max(self.suspect_until, now + _SUSPECT_SECONDS)
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Pass it over for a while after a call that got no answer.
 
         One that fails part of its calls while its records and reports are
@@ -288,7 +288,7 @@
         self._drop(name)
         return True
 
-    def note_store(self, answered: bool, now: float) -> None:
+    def record_store_result(self, answered: bool, now: float) -> None:
         """Note whether the key-value service answered a call."""
         seen = self._disturbance
         if answered and not seen.answering:
--- a/primrosewood/callers.py
+++ b/primrosewood/callers.py
@@ -90,7 +90,7 @@
         app.on_response_prepare.append(self._note_answer)
         return app
 
-    def end_unanswered(self) -> None:
+    def fail_unanswered(self) -> None:
         """Answer now what has no part of an answer, as the entry ends.
 
         A connection that just closed would tell its caller neither that the
@@ -149,9 +149,12 @@
         body = await read_body(request)
         asked = decode_body(body, ChatRequest)
         prompt = render_chat(asked.messages)
-        longest = asked.max_completion_tokens or asked.max_tokens
+        max_output_tokens = asked.max_completion_tokens or asked.max_tokens
         wanted = _Wanted(
-            asked.model, prompt, longest or _DEFAULT_MAX_TOKENS, asked.stream
+            asked.model,
+            prompt,
+            max_output_tokens or _DEFAULT_MAX_TOKENS,
+            asked.stream,
         )
         generation = self._to_request(request, organisation, wanted, body)
         answer = ChatFormat(generation.name, asked.model, time.time())
--- a/primrosewood/claimrouter.py
+++ b/primrosewood/claimrouter.py
@@ -12,7 +12,7 @@
 import xxhash
 
 from . import gen_wire as wire
-from .claims import ClaimKeeper, ClaimResult, Wish, shard_of
+from .claims import ClaimKeeper, ClaimResult, ClaimProposal, shard_of
 from .errors import StoreUnavailableError, WireError
 from .fleet import ENTRY_SERVICE, Fleet
 from .gen_wire import ClaimRecord
@@ -58,7 +58,7 @@
         self._shards = shards
         self._patience = patience
 
-    async def claim(self, wish: Wish) -> ClaimResult:
+    async def claim(self, wish: ClaimProposal) -> ClaimResult:
         """Write a claim, or learn which one stands.
 
         Raises
@@ -91,13 +91,17 @@
 
     async def _serve(self, ask: wire.ClaimAsk, link: Link) -> None:
         try:
-            result = await self._keeper.claim(Wish(ask.record, ask.replaces))
+            result = await self._keeper.claim(
+                ClaimProposal(ask.record, ask.replaces)
+            )
         except (StoreUnavailableError, WireError):
             link.send(wire.ClaimTold(ask.attempt, None))
             return
         link.send(wire.ClaimTold(ask.attempt, result.record))
 
-    async def _ask(self, writer: LinkClient, wish: Wish) -> ClaimResult | None:
+    async def _ask(
+        self, writer: LinkClient, wish: ClaimProposal
+    ) -> ClaimResult | None:
         """Return the writer's answer, None when it gave none."""
         inbox = Inbox()
         channel = make_identifier()
--- a/primrosewood/claims.py
+++ b/primrosewood/claims.py
@@ -24,7 +24,7 @@
     'CLAIMS_PREFIX',
     'ClaimKeeper',
     'ClaimResult',
-    'Wish',
+    'ClaimProposal',
     'merge_wishes',
     'parse_page',
     'serialise_page',
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class ClaimProposal:
     """A claim to be written.
 
     Attributes
@@ -69,7 +69,7 @@
     name: str
     page: Page = field(default_factory=dict)
     revision: int = 0
-    waiting: dict[str, tuple[Wish, asyncio.Future]] = field(
+    waiting: dict[str, tuple[ClaimProposal, asyncio.Future]] = field(
         default_factory=dict
     )
     task: asyncio.Task | None = None
@@ -103,7 +103,7 @@
 
 
 def merge_wishes(
-    page: Page, wishes: list[Wish], oldest: int
+    page: Page, wishes: list[ClaimProposal], oldest: int
 ) -> tuple[Page, dict[str, ClaimResult]]:
     """Apply wishes to a page.
 
@@ -138,7 +138,7 @@
     return merged, results
 
 
-def _may_stand(wish: Wish, standing: ClaimRecord | None) -> bool:
+def _may_stand(wish: ClaimProposal, standing: ClaimRecord | None) -> bool:
     if standing is None:
         return True
     return bool(wish.replaces) and standing.nonce == wish.replaces
@@ -179,7 +179,7 @@
         """Number of compare-and-swaps sent."""
         return self._swaps
 
-    async def claim(self, wish: Wish) -> ClaimResult:
+    async def claim(self, wish: ClaimProposal) -> ClaimResult:
         """Write a claim, or learn which one stands.
 
         Raises
--- a/primrosewood/dispatch.py
+++ b/primrosewood/dispatch.py
@@ -14,7 +14,7 @@
     RequestFailedError,
 )
 from .placement import Placement
-from .progress import Progress, Tools
+from .progress import Progress, EntryContext
 from .recovery import Recovery
 from .requests import (
     AnswerEvent,
@@ -41,7 +41,7 @@
 class Dispatcher:
     """Brings each request to one endpoint and its whole answer back."""
 
-    def __init__(self, tools: Tools) -> None:
+    def __init__(self, tools: EntryContext) -> None:
         """Take the tools."""
         self._tools = tools
         self._budgets: dict[tuple[str, str], RetryBudget] = {}
@@ -83,7 +83,7 @@
 class _Run:
     """One request on its way through one entry."""
 
-    def __init__(self, tools: Tools, progress: Progress) -> None:
+    def __init__(self, tools: EntryContext, progress: Progress) -> None:
         self._tools = tools
         self._progress = progress
         self._request = progress.request
--- a/primrosewood/endpoint.py
+++ b/primrosewood/endpoint.py
@@ -20,7 +20,7 @@
 from .process import run_process, spawn
 from .settings import SETTINGS_PREFIX, SettingsStore
 from .watcher import Watcher, WatchPace
-from .worker import Place, Worker
+from .worker import EndpointIdentity, Worker
 
 __all__ = ('EndpointProcess', 'main', 'run')
 
@@ -40,7 +40,7 @@
         self._config = config
         settings = config.settings
         self._settings = settings
-        self._place = Place(
+        self._place = EndpointIdentity(
             name=settings.name,
             incarnation=make_identifier(),
             team=settings.endpoint.team,
@@ -158,7 +158,7 @@
             except BackendCutError as error:
                 log_event('engine_silent', 'WARNING', why=error)
             else:
-                self._worker.learn_load(load)
+                self._worker.update_engine_load(load)
 
     async def _serve_metrics(self) -> web.AppRunner | None:
         listen = self._settings.endpoint.metrics
--- a/primrosewood/entry.py
+++ b/primrosewood/entry.py
@@ -28,10 +28,10 @@
 from .logs import log_event
 from .metrics import Metrics
 from .process import run_process, spawn
-from .progress import Tools
+from .progress import EntryContext
 from .routing import make_policy
 from .settings import SETTINGS_PREFIX, SettingsStore
-from .unsent import has_unsent
+from .unsent import has_unsent_data
 from .vmlist import HttpVmList
 from .watcher import Watcher, WatchPace
 
@@ -192,7 +192,7 @@
 
     def _make_callers(self) -> CallerApi:
         settings = self._settings
-        tools = Tools(
+        tools = EntryContext(
             settings=settings,
             signing_key=self._config.keys.signing_key,
             store=self._store,
@@ -278,12 +278,12 @@
                     await asyncio.sleep(_STEP_SECONDS)
         except TimeoutError:
             log_event('stopped_with_work_left', 'ERROR')
-            self._callers.end_unanswered()
+            self._callers.fail_unanswered()
 
     def _has_work(self, runners: tuple[web.AppRunner, ...]) -> bool:
         if self._callers.active or self._administration.active:
             return True
-        return any(has_unsent(runner) for runner in runners)
+        return any(has_unsent_data(runner) for runner in runners)
 
 
 def run(settings: str, check: bool = False) -> None:
--- a/primrosewood/fairness.py
+++ b/primrosewood/fairness.py
@@ -51,7 +51,7 @@
     passed over for ever.
     """
 
-    def __init__(self, longest: int) -> None:
+    def __init__(self, max_output_tokens: int) -> None:
         """Start empty.
 
         Parameters
@@ -59,7 +59,7 @@
         longest
             Requests that may wait.
         """
-        self._longest = longest
+        self._longest = max_output_tokens
         self._flows: dict[str, _Flow] = {}
         self._count = 0
 
--- a/primrosewood/lengths.py
+++ b/primrosewood/lengths.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-__all__ = ('HORIZONS', 'LengthBook', 'LengthHistogram', 'Outlook')
+__all__ = ('HORIZONS', 'LengthPredictor', 'LengthHistogram', 'LengthForecast')
 
 HORIZONS = (32, 64, 128, 256, 512, 1024, 2048)
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outlook:
+class LengthForecast:
     """What may become of one generation.
 
     Attributes
@@ -60,7 +60,7 @@
         """Start empty."""
         self._counts = [0.0 for _ in _EDGES]
         self._seen = 0
-        self._table: list[Outlook] = []
+        self._table: list[LengthForecast] = []
 
     @property
     def seen(self) -> int:
@@ -76,13 +76,13 @@
         if self._seen % _REFRESH_EVERY == 0 or self._seen == _ENOUGH:
             self._table = []
 
-    def predict(self, produced: int) -> Outlook:
+    def predict(self, produced: int) -> LengthForecast:
         """Return the outlook of a generation that has produced so many."""
         if not self._table:
             self._table = self._build_table()
         return self._table[bisect.bisect_right(_EDGES, produced) - 1]
 
-    def _build_table(self) -> list[Outlook]:
+    def _build_table(self) -> list[LengthForecast]:
         survival = self._sum_tails()
         return [self._look_from(edge, survival) for edge in _EDGES]
 
@@ -96,7 +96,9 @@
         tails.reverse()
         return tails
 
-    def _look_from(self, produced: int, survival: list[float]) -> Outlook:
+    def _look_from(
+        self, produced: int, survival: list[float]
+    ) -> LengthForecast:
         here = _interpolate(produced, survival)
         if here <= 0:
             # Longer than anything seen: expect as much again.
@@ -105,7 +107,7 @@
             _interpolate(produced + ahead, survival) / here
             for ahead in HORIZONS
         )
-        return Outlook(alive, self._mean_beyond(produced) / here)
+        return LengthForecast(alive, self._mean_beyond(produced) / here)
 
     def _mean_beyond(self, produced: int) -> float:
         return sum(
@@ -115,7 +117,7 @@
         )
 
 
-class LengthBook:
+class LengthPredictor:
     """Histograms by group, with coarser groups where one is thin."""
 
     def __init__(self) -> None:
@@ -136,7 +138,7 @@
         while len(self._histograms) > _MOST_GROUPS:
             self._histograms.popitem(last=False)
 
-    def predict(self, group: Group, produced: int) -> Outlook:
+    def predict(self, group: Group, produced: int) -> LengthForecast:
         """Return the outlook by the finest group that has seen enough."""
         for size in range(len(group), -1, -1):
             histogram = self._histograms.get(group[:size])
@@ -155,8 +157,10 @@
     return survival[bucket] + share * (survival[bucket + 1] - survival[bucket])
 
 
-def _fading_outlook(mean: float) -> Outlook:
-    return Outlook(tuple(math.exp(-ahead / mean) for ahead in HORIZONS), mean)
+def _fading_outlook(mean: float) -> LengthForecast:
+    return LengthForecast(
+        tuple(math.exp(-ahead / mean) for ahead in HORIZONS), mean
+    )
 
 
 def _middle(bucket: int) -> float:
--- a/primrosewood/lookup.py
+++ b/primrosewood/lookup.py
@@ -8,7 +8,7 @@
 from .errors import ErrorKind
 from .jobs import GenerationJob, Job
 from .link import Link
-from .listeners import Listeners
+from .subscribers import Listeners
 from .logs import log_event
 from .runner import JobRunner
 
@@ -84,7 +84,7 @@
                 kind='streamed',
                 template='',
                 prompt_tokens=0,
-                longest=0,
+                max_output_tokens=0,
                 patience=0,
                 seconds_left=0,
             )
--- a/primrosewood/memory.py
+++ b/primrosewood/memory.py
@@ -3,9 +3,9 @@
 import math
 from dataclasses import dataclass
 
-from .lengths import HORIZONS, LengthBook
+from .lengths import HORIZONS, LengthPredictor
 
-__all__ = ('Booking', 'MemoryBook')
+__all__ = ('Reservation', 'MemoryTracker')
 
 _SPREADS = 3.0
 _MOST_SPREADS = 4.0
@@ -17,12 +17,12 @@
 
 
 @dataclass(slots=True)
-class Booking:
+class Reservation:
     """Memory that one generation holds and may come to hold, in tokens."""
 
     group: tuple[str, ...]
     prompt: int
-    longest: int
+    max_output_tokens: int
     produced: int = 0
 
     @property
@@ -31,7 +31,7 @@
         return self.prompt + self.produced
 
 
-class MemoryBook:
+class MemoryTracker:
     """Pooled bookings of one engine.
 
     For each of a few horizons, a generation that still runs then holds what
@@ -52,11 +52,11 @@
         Lengths seen at this endpoint.
     """
 
-    def __init__(self, capacity: int, lengths: LengthBook) -> None:
+    def __init__(self, capacity: int, lengths: LengthPredictor) -> None:
         """Start with nothing booked."""
         self.capacity = capacity
         self._lengths = lengths
-        self._bookings: dict[str, Booking] = {}
+        self._reservations: dict[str, Reservation] = {}
         self._spreads = _SPREADS
         self._totals: list[_Hold] = []
         self._grown = _STALE_TOKENS
@@ -74,41 +74,43 @@
         booked = self._reckon(self._read_totals()[0])
         return int(booked * _PERMILLE / self.capacity)
 
-    def fits(self, booking: Booking) -> bool:
+    def fits(self, reservation: Reservation) -> bool:
         """Tell whether one more generation fits.
 
         An engine that holds nothing takes any generation: waiting longer
         would not make more room.
         """
-        if not self.capacity or not self._bookings:
+        if not self.capacity or not self._reservations:
             return True
-        alive = self._lengths.predict(booking.group, booking.produced).alive
+        alive = self._lengths.predict(
+            reservation.group, reservation.produced
+        ).alive
         return all(
-            self._reckon(total.plus(_hold(booking, index, alive)))
+            self._reckon(total.plus(_hold(reservation, index, alive)))
             <= self.capacity
             for index, total in enumerate(self._read_totals())
             if alive[index] >= _UNLIKELY or not index
         )
 
-    def add(self, name: str, booking: Booking) -> None:
+    def add(self, name: str, reservation: Reservation) -> None:
         """Book a generation."""
-        self._bookings[name] = booking
+        self._reservations[name] = reservation
         self._grown = _STALE_TOKENS
 
     def grow(self, name: str, produced: int) -> None:
         """Note how many tokens a generation has produced."""
-        booking = self._bookings.get(name)
-        if booking is not None:
-            self._grown += produced - booking.produced
-            booking.produced = produced
+        reservation = self._reservations.get(name)
+        if reservation is not None:
+            self._grown += produced - reservation.produced
+            reservation.produced = produced
 
     def remove(self, name: str) -> None:
         """Release a generation; unknown names are no fault."""
-        self._bookings.pop(name, None)
+        self._reservations.pop(name, None)
         self._grown = _STALE_TOKENS
         self._spreads = max(_SPREADS, self._spreads - _STEP_DOWN)
 
-    def note_preemptions(self, count: int) -> None:
+    def record_preemptions(self, count: int) -> None:
         """Keep more free after the engine ran out of memory."""
         raised = self._spreads + count * _STEP_UP
         self._spreads = min(_MOST_SPREADS, raised)
@@ -131,10 +133,12 @@
 
     def _sum_holds(self) -> list['_Hold']:
         totals = [_Hold(0, 0, 0) for _ in HORIZONS]
-        for booking in self._bookings.values():
-            outlook = self._lengths.predict(booking.group, booking.produced)
+        for reservation in self._reservations.values():
+            outlook = self._lengths.predict(
+                reservation.group, reservation.produced
+            )
             for index, total in enumerate(totals):
-                total.add(_hold(booking, index, outlook.alive))
+                total.add(_hold(reservation, index, outlook.alive))
         return totals
 
 
@@ -159,8 +163,10 @@
         )
 
 
-def _hold(booking: Booking, index: int, alive: tuple[float, ...]) -> _Hold:
-    most = booking.prompt + booking.longest
-    then = min(most, booking.held + HORIZONS[index])
+def _hold(
+    reservation: Reservation, index: int, alive: tuple[float, ...]
+) -> _Hold:
+    most = reservation.prompt + reservation.max_output_tokens
+    then = min(most, reservation.held + HORIZONS[index])
     mean = alive[index] * then
     return _Hold(then, mean, mean * (then - mean))
--- a/primrosewood/placement.py
+++ b/primrosewood/placement.py
@@ -7,7 +7,7 @@
 
 from . import gen_wire as wire
 from .attempt import Attempt
-from .claims import Wish
+from .claims import ClaimProposal
 from .errors import (
     AttemptFailedError,
     DoubtError,
@@ -21,7 +21,7 @@
 from .logs import log_decision, log_event
 from .membership import EndpointView, Veto
 from .process import spawn
-from .progress import Progress, Tools
+from .progress import Progress, EntryContext
 from .recovery import Recovery
 from .retries import jitter
 from .routing import Choice, Work
@@ -39,7 +39,7 @@
     """Brings one request to an endpoint that takes it."""
 
     def __init__(
-        self, tools: Tools, progress: Progress, recovery: Recovery
+        self, tools: EntryContext, progress: Progress, recovery: Recovery
     ) -> None:
         """Take the request's progress."""
         self._tools = tools
@@ -222,7 +222,7 @@
         """Claim the key for an attempt; False when another claim stands."""
         before = attempt.claim
         record = self._make_claim(attempt)
-        wish = Wish(record, before.nonce if before else '')
+        wish = ClaimProposal(record, before.nonce if before else '')
         result = await self._guarded(self._tools.claims.claim(wish))
         attempt.claim = result.record
         self._check_body(result.record)
@@ -291,9 +291,11 @@
         released = msgspec.structs.replace(
             claim, nonce=make_identifier(), endpoint='', attempt=''
         )
-        spawn(self._write_release(Wish(released, claim.nonce)), 'release')
+        spawn(
+            self._write_release(ClaimProposal(released, claim.nonce)), 'release'
+        )
 
-    async def _write_release(self, wish: Wish) -> None:
+    async def _write_release(self, wish: ClaimProposal) -> None:
         try:
             await self._tools.claims.claim(wish)
         except (StoreUnavailableError, WireError) as error:
--- a/primrosewood/progress.py
+++ b/primrosewood/progress.py
@@ -15,11 +15,11 @@
 from .routing import Policy
 from .settings import SettingsStore
 
-__all__ = ('Progress', 'Tools')
+__all__ = ('Progress', 'EntryContext')
 
 
 @dataclass(frozen=True, slots=True)
-class Tools:
+class EntryContext:
     """What the handling of every request works with."""
 
     settings: ProcessSettings
--- a/primrosewood/recovery.py
+++ b/primrosewood/recovery.py
@@ -7,7 +7,7 @@
     NotRunError,
     RequestFailedError,
 )
-from .progress import Progress, Tools
+from .progress import Progress, EntryContext
 
 __all__ = ('Recovery',)
 
@@ -15,7 +15,7 @@
 class Recovery:
     """Asks an endpoint for what it did while nobody listened."""
 
-    def __init__(self, tools: Tools, progress: Progress) -> None:
+    def __init__(self, tools: EntryContext, progress: Progress) -> None:
         """Take the request's progress."""
         self._tools = tools
         self._progress = progress
--- a/primrosewood/retention.py
+++ b/primrosewood/retention.py
@@ -4,7 +4,7 @@
 from .clock import Clock
 from .gen_process import Limits, Timing
 from .jobs import CallJob, Job
-from .listeners import Listeners
+from .subscribers import Listeners
 from .runner import JobRunner
 
 __all__ = ('Retention',)
--- a/primrosewood/runner.py
+++ b/primrosewood/runner.py
@@ -135,7 +135,7 @@
             generation=job.generation,
             tokens=len(job.tokens),
         )
-        self._admission.limit.note_failure()
+        self._admission.limit.record_failure()
         job.tokens.fail(ErrorKind.generation_lost)
 
     async def _read_tokens(
@@ -159,7 +159,7 @@
         if job.tokens.append(token.index, token.piece):
             timer.note()
             produced = len(job.tokens)
-            self._admission.note_tokens(job.offer.attempt, produced, added=1)
+            self._admission.record_tokens(job.offer.attempt, produced, added=1)
             job.publish()
 
     def _end_generation(self, job: GenerationJob) -> None:
@@ -200,7 +200,7 @@
 
     def _end_unrun(self, job: Job, error: NotRunError) -> None:
         self._admission.finish(job.offer.attempt, 0, whole=False)
-        self._admission.limit.note_failure()
+        self._admission.limit.record_failure()
         self._events.unrun(job, error)
 
 
--- a/primrosewood/sharedreader.py
+++ b/primrosewood/sharedreader.py
@@ -63,7 +63,7 @@
         clock: Clock,
         random: RandomSource,
         send: Callable[[Message], None],
-        note_answered: Callable[[bool], None],
+        report_available: Callable[[bool], None],
     ) -> None:
         """Start as a process that has not read anything."""
         self._name = name
@@ -71,7 +71,7 @@
         self._clock = clock
         self._random = random
         self._send = send
-        self._note_answered = note_answered
+        self._note_answered = report_available
         self._due_at = clock.monotonic()
         self._fresh_at = float('-inf')
         self._reading: asyncio.Timeout | None = None
--- a/primrosewood/warmup.py
+++ b/primrosewood/warmup.py
@@ -4,7 +4,7 @@
 
 from .logs import log_event
 
-__all__ = ('ConcurrencyLimit', 'Targets')
+__all__ = ('ConcurrencyLimit', 'ConcurrencyTargets')
 
 _IN_TIME = 1.25
 _TOO_SLOW = 1.75
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Targets:
+class ConcurrencyTargets:
     """What the limit keeps to.
 
     Attributes
@@ -43,7 +43,7 @@
     needed.
     """
 
-    def __init__(self, targets: Targets) -> None:
+    def __init__(self, targets: ConcurrencyTargets) -> None:
         """Start cold."""
         self._targets = targets
         self._limit = float(targets.start)
@@ -56,7 +56,7 @@
         """Requests that may run at once."""
         return int(self._limit)
 
-    def retarget(self, targets: Targets) -> None:
+    def retarget(self, targets: ConcurrencyTargets) -> None:
         """Take new targets; the limit stays within the new ceiling."""
         self._targets = targets
         if not self._proven:
@@ -85,7 +85,7 @@
             # Only answers given under load prove that more can be borne.
             self._grow()
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Learn from an answer that the engine broke off."""
         self._reset(0)
 
--- a/primrosewood/worker.py
+++ b/primrosewood/worker.py
@@ -14,16 +14,16 @@
 from .identity import digest_template
 from .jobs import CallJob, GenerationJob, Job
 from .link import Link
-from .listeners import Listeners
+from .subscribers import Listeners
 from .logs import log_decision
 from .lookup import Lookup
 from .metrics import Metrics
 from .retention import Retention
 from .runner import JobRunner, RunnerEvents, count_tokens
 from .settings import SettingsStore
-from .warmup import Targets
+from .warmup import ConcurrencyTargets
 
-__all__ = ('Place', 'Worker')
+__all__ = ('EndpointIdentity', 'Worker')
 
 _MILLISECONDS = 1000
 _PASSING_RETRY_SECONDS = 0.5
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class EndpointIdentity:
     """Where a worker stands.
 
     Attributes
@@ -90,7 +90,7 @@
 
     def __init__(
         self,
-        place: Place,
+        place: EndpointIdentity,
         store: SettingsStore,
         engine: Engine,
         plain_service: PlainService,
@@ -182,11 +182,11 @@
         self._leaving = True
         self._refuse_queued(ErrorKind.leaving)
 
-    def learn_load(self, load: EngineLoad) -> None:
+    def update_engine_load(self, load: EngineLoad) -> None:
         """Take memory size and preemptions from the engine's own report."""
         self.admission.memory.capacity = load.capacity_tokens
         fresh = max(0, load.preemptions - self._preemptions)
-        self.admission.memory.note_preemptions(fresh)
+        self.admission.memory.record_preemptions(fresh)
         self._preemptions = load.preemptions
 
     def tick(self) -> None:
@@ -384,7 +384,7 @@
             kind='streamed' if offer.streamed else 'whole',
             template=digest_template(offer.prompt),
             prompt_tokens=count_tokens(offer.prompt),
-            longest=offer.max_tokens,
+            max_output_tokens=offer.max_tokens,
             patience=min(self._service.queue_seconds, seconds_left),
             seconds_left=seconds_left,
         )
@@ -415,8 +415,8 @@
     return f'{offer.team}/{offer.organisation}'
 
 
-def _make_targets(service: Service) -> Targets:
-    return Targets(
+def _make_targets(service: Service) -> ConcurrencyTargets:
+    return ConcurrencyTargets(
         start=service.start_running,
         most=service.max_running,
         first_token=service.first_token_seconds,
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -28,7 +28,7 @@
     """A stream with what was sent of it."""
 
     stream: ModelStream
-    longest: int
+    max_output_tokens: int
     tag: str
     finished: bool = False
     cancelled: bool = False
@@ -240,7 +240,7 @@
 
 def _ending(served: Served, index: int) -> bytes:
     reason = 'cancelled' if served.cancelled else 'stop'
-    if served.stream.produced >= served.longest:
+    if served.stream.produced >= served.max_output_tokens:
         reason = 'length'
     data = json.dumps({'choices': [{'text': '', 'finish_reason': reason}]})
     return f'id: {index}\ndata: {data}\n\ndata: [DONE]\n\n'.encode()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,9 +7,9 @@
 
 from primrosewood.admission import Admission, AdmissionRequest
 from primrosewood.errors import NotRunError
-from primrosewood.lengths import HORIZONS, LengthBook, LengthHistogram
-from primrosewood.memory import Booking, MemoryBook
-from primrosewood.warmup import Targets
+from primrosewood.lengths import HORIZONS, LengthPredictor, LengthHistogram
+from primrosewood.memory import Reservation, MemoryTracker
+from primrosewood.warmup import ConcurrencyTargets
 
 
 class ManualClock:
@@ -25,9 +25,19 @@
         return self.now
 
 
-def make_request(name, organisation='o', patience=5.0, longest=100, left=60):
+def make_request(
+    name, organisation='o', patience=5.0, max_output_tokens=100, left=60
+):
     return AdmissionRequest(
-        name, organisation, 1.0, 'whole', 't', 10, longest, patience, left
+        name,
+        organisation,
+        1.0,
+        'whole',
+        't',
+        10,
+        max_output_tokens,
+        patience,
+        left,
     )
 
 
@@ -36,7 +46,9 @@
 
     def setUp(self):
         self.clock = ManualClock()
-        targets = Targets(start=2, most=2, first_token=1, between_tokens=0.1)
+        targets = ConcurrencyTargets(
+            start=2, most=2, first_token=1, between_tokens=0.1
+        )
         self.admission = Admission(self.clock, targets, 4, 0)
 
     def test_runs_then_queues_then_refuses(self):
@@ -129,7 +141,9 @@
     def test_tokens_count_not_requests(self):
         """One asks for answers of 900 tokens, another of 100."""
         clock = ManualClock()
-        targets = Targets(start=1, most=1, first_token=1, between_tokens=1)
+        targets = ConcurrencyTargets(
+            start=1, most=1, first_token=1, between_tokens=1
+        )
         admission = Admission(clock, targets, 10_000, 0)
         served = {'long': 0, 'short': 0}
         sizes = {'long': 900, 'short': 100}
@@ -144,7 +158,7 @@
             (current,) = admission._running
             name = current.partition('-')[0]
             served[name] += sizes[name]
-            admission.note_tokens(current, sizes[name], sizes[name])
+            admission.record_tokens(current, sizes[name], sizes[name])
             admission.finish(current, sizes[name], whole=True)
             admission.admit_waiting()
         self.assertLess(abs(served['long'] - served['short']), 6000)
@@ -165,7 +179,7 @@
         self.assertAlmostEqual(1.0, old.alive[2], delta=0.05)
 
     def test_thin_group_falls_back(self):
-        book = LengthBook()
+        book = LengthPredictor()
         for _ in range(50):
             book.observe(('streamed', 'a'), 1000)
         self.assertEqual(
@@ -194,26 +208,26 @@
     """Booked memory."""
 
     def make_book(self, capacity=1000):
-        lengths = LengthBook()
+        lengths = LengthPredictor()
         for _ in range(60):
             lengths.observe(('short',), 10)
             lengths.observe(('long',), 600)
-        return MemoryBook(capacity, lengths)
+        return MemoryTracker(capacity, lengths)
 
     def test_empty_engine_takes_anything(self):
         book = self.make_book()
-        self.assertTrue(book.fits(Booking(('long',), 5000, 5000)))
+        self.assertTrue(book.fits(Reservation(('long',), 5000, 5000)))
 
     def test_short_answers_pass_where_long_ones_do_not(self):
         book = self.make_book(capacity=800)
-        book.add('a', Booking(('long',), 50, 4000, produced=300))
-        self.assertFalse(book.fits(Booking(('long',), 50, 4000)))
-        self.assertTrue(book.fits(Booking(('short',), 50, 4000)))
+        book.add('a', Reservation(('long',), 50, 4000, produced=300))
+        self.assertFalse(book.fits(Reservation(('long',), 50, 4000)))
+        self.assertTrue(book.fits(Reservation(('short',), 50, 4000)))
 
     def test_preemptions_make_it_careful(self):
         book = self.make_book()
         before = book.spreads
-        book.note_preemptions(3)
+        book.record_preemptions(3)
         self.assertGreater(book.spreads, before)
         for number in range(1000):
             book.remove(str(number))
@@ -221,6 +235,6 @@
 
     def test_unknown_capacity_admits(self):
         book = self.make_book(capacity=0)
-        book.add('a', Booking(('long',), 50, 4000))
-        self.assertTrue(book.fits(Booking(('long',), 50, 4000)))
+        book.add('a', Reservation(('long',), 50, 4000))
+        self.assertTrue(book.fits(Reservation(('long',), 50, 4000)))
         self.assertEqual(0, book.permille)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -8,7 +8,7 @@
 
 from primrosewood.claims import (
     ClaimKeeper,
-    Wish,
+    ClaimProposal,
     merge_wishes,
     parse_page,
     serialise_page,
@@ -35,7 +35,12 @@
 
     def test_first_claim_wins(self):
         page, results = merge_wishes(
-            {}, [Wish(make_claim(nonce='n1')), Wish(make_claim(nonce='n2'))], 0
+            {},
+            [
+                ClaimProposal(make_claim(nonce='n1')),
+                ClaimProposal(make_claim(nonce='n2')),
+            ],
+            0,
         )
         self.assertTrue(results['n1'].granted)
         self.assertFalse(results['n2'].granted)
@@ -46,8 +51,8 @@
         """Two entries want to pass on the same refused claim."""
         page = {'aa': make_claim(nonce='n1')}
         wishes = [
-            Wish(make_claim(nonce='n2', number=2), replaces='n1'),
-            Wish(make_claim(nonce='n3', number=2), replaces='n1'),
+            ClaimProposal(make_claim(nonce='n2', number=2), replaces='n1'),
+            ClaimProposal(make_claim(nonce='n3', number=2), replaces='n1'),
         ]
         page, results = merge_wishes(page, wishes, 0)
         self.assertTrue(results['n2'].granted)
@@ -56,7 +61,9 @@
     def test_own_claim_is_recognised(self):
         """The answer of a swap was lost, and the claim is wished again."""
         page = {'aa': make_claim(nonce='n1')}
-        _page, results = merge_wishes(page, [Wish(make_claim(nonce='n1'))], 0)
+        _page, results = merge_wishes(
+            page, [ClaimProposal(make_claim(nonce='n1'))], 0
+        )
         self.assertTrue(results['n1'].granted)
 
     def test_old_claims_are_dropped(self):
@@ -96,8 +103,12 @@
             patience=0.3,
         )
         with self.assertRaises(StoreUnavailableError):
-            await keeper.claim(Wish(make_claim('f' * 32, 'new', at=2**40)))
-        old = await keeper.claim(Wish(make_claim(f'{7:032x}', 'x', at=2**40)))
+            await keeper.claim(
+                ClaimProposal(make_claim('f' * 32, 'new', at=2**40))
+            )
+        old = await keeper.claim(
+            ClaimProposal(make_claim(f'{7:032x}', 'x', at=2**40))
+        )
         self.assertFalse(old.granted)
         self.assertEqual('7', old.record.nonce)
 
@@ -132,7 +143,7 @@
         wishes = [
             (
                 keepers[keeper],
-                Wish(make_claim(f'{key:08x}', f'n{number}', at=2**40)),
+                ClaimProposal(make_claim(f'{key:08x}', f'n{number}', at=2**40)),
             )
             for number, (keeper, key) in enumerate(claims)
         ]
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -5,10 +5,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from primrosewood.warmup import ConcurrencyLimit, Targets
+from primrosewood.warmup import ConcurrencyLimit, ConcurrencyTargets
 from standins.enginemodel import EngineModel, EngineShape, ModelStream
 
-_TARGETS = Targets(start=2, most=32, first_token=0.5, between_tokens=0.03)
+_TARGETS = ConcurrencyTargets(
+    start=2, most=32, first_token=0.5, between_tokens=0.03
+)
 
 
 class Driver:
@@ -73,7 +75,7 @@
 
     def test_failure_takes_it_back(self):
         self.make_driver(EngineShape(), 2000)
-        self.limit.note_failure()
+        self.limit.record_failure()
         self.assertEqual(_TARGETS.start, self.limit.limit)
 
     def make_driver(self, shape, steps):
@@ -87,10 +89,10 @@
         self.assertEqual(_TARGETS.start, self.limit.limit)
 
     def test_settings_before_the_first_answer_set_the_start(self):
-        self.limit.retarget(Targets(8, 32, 0.5, 0.03))
+        self.limit.retarget(ConcurrencyTargets(8, 32, 0.5, 0.03))
         self.assertEqual(8, self.limit.limit)
         self.limit.observe(0.01, 0.01, running=8)
-        self.limit.retarget(Targets(4, 6, 0.5, 0.03))
+        self.limit.retarget(ConcurrencyTargets(4, 6, 0.5, 0.03))
         self.assertEqual(6, self.limit.limit)
 
     @settings(derandomize=True, max_examples=200)
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -15,9 +15,9 @@
 from primrosewood.gen_process import Limits, Timing
 from primrosewood.metrics import Metrics
 from primrosewood.settings import SettingsStore
-from primrosewood.worker import Place, Worker
+from primrosewood.worker import EndpointIdentity, Worker
 
-_PLACE = Place('e1', 'i1', 't', 's', 'd1')
+_PLACE = EndpointIdentity('e1', 'i1', 't', 's', 'd1')
 
 
 class FakeLink:
