--- a/primrosewood/calllimits.py
+++ b/primrosewood/calllimits.py
@@ -75,7 +75,7 @@
             self._count(backend, calls=1)
             self._schedule_report(backend, calls=1)
 
-    def take_told(self, report: wire.LimitTold) -> None:
+    def merge_from_peer(self, report: wire.LimitTold) -> None:
         """Apply another entry's report of a limit and of its calls."""
         backend = self._backends.find(report.endpoint)
         if backend is not None:
--- a/primrosewood/etcd.py
+++ b/primrosewood/etcd.py
@@ -9,20 +9,20 @@
 import msgspec
 
 from .errors import StoreUnavailableError
-from .kv import Change, KeyValue, Listing, Pair, Swap
+from .kv import Change, KeyValue, Listing, Pair, SwapResult
 
-__all__ = ('EtcdKeyValue', 'decode_text', 'encode_text', 'prefix_range_end')
+__all__ = ('EtcdKeyValue', 'decode_base64', 'encode_base64', 'prefix_range_end')
 
 _MAX_WATCH_LINE_BYTES = 8_388_608
 
 
-def encode_text(text: str | bytes) -> str:
+def encode_base64(text: str | bytes) -> str:
     """Return text or bytes as base64, as the gateway's fields hold them."""
     raw = text.encode() if isinstance(text, str) else text
     return base64.b64encode(raw).decode()
 
 
-def decode_text(text: str) -> bytes:
+def decode_base64(text: str) -> bytes:
     """Return the bytes of a base64 field of the gateway."""
     return base64.b64decode(text)
 
@@ -58,7 +58,7 @@
 
     async def fetch(self, key: str) -> Pair | None:
         """Return the pair of a key, None when absent."""
-        reply = await self._call('kv/range', {'key': encode_text(key)})
+        reply = await self._call('kv/range', {'key': encode_base64(key)})
         return next(iter(_parse_pairs(reply)), None)
 
     async def list_pairs(self, prefix: str, since: int = 0) -> list[Pair]:
@@ -75,18 +75,18 @@
 
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Write if the key is at revision ``expected`` (0 if absent)."""
         query = {
             'compare': [_make_compare(key, expected)],
             'success': [{'request_put': _make_put(key, stored, lease)}],
-            'failure': [{'request_range': {'key': encode_text(key)}}],
+            'failure': [{'request_range': {'key': encode_base64(key)}}],
         }
         reply = await self._call('kv/txn', query)
         if reply.get('succeeded'):
-            return Swap(swapped=True, revision=_header_revision(reply))
+            return SwapResult(swapped=True, revision=_header_revision(reply))
         range_reply = reply['responses'][0]['response_range']
-        return Swap(
+        return SwapResult(
             swapped=False, current=next(iter(_parse_pairs(range_reply)), None)
         )
 
@@ -114,8 +114,8 @@
         """Yield changes from a revision on, until the connection is lost."""
         request = {
             'create_request': {
-                'key': encode_text(prefix),
-                'range_end': encode_text(prefix_range_end(prefix)),
+                'key': encode_base64(prefix),
+                'range_end': encode_base64(prefix_range_end(prefix)),
                 'start_revision': str(since),
             }
         }
@@ -178,8 +178,8 @@
 
 def _prefix_range(prefix: str) -> dict[str, str]:
     return {
-        'key': encode_text(prefix),
-        'range_end': encode_text(prefix_range_end(prefix)),
+        'key': encode_base64(prefix),
+        'range_end': encode_base64(prefix_range_end(prefix)),
     }
 
 
@@ -189,8 +189,8 @@
 
 def _parse_pair(fields: Any) -> Pair:
     return Pair(
-        key=decode_text(fields['key']).decode(),
-        stored=decode_text(fields.get('value', '')),
+        key=decode_base64(fields['key']).decode(),
+        stored=decode_base64(fields.get('value', '')),
         revision=int(fields['mod_revision']),
     )
 
@@ -201,7 +201,7 @@
 
 def _make_compare(key: str, expected: int) -> dict[str, str]:
     return {
-        'key': encode_text(key),
+        'key': encode_base64(key),
         'target': 'MOD',
         'result': 'EQUAL',
         'mod_revision': str(expected),
@@ -210,7 +210,7 @@
 
 def _make_put(key: str, stored: bytes, lease: int) -> dict[str, str]:
     return {
-        'key': encode_text(key),
-        'value': encode_text(stored),
+        'key': encode_base64(key),
+        'value': encode_base64(stored),
         'lease': str(lease),
     }
--- a/primrosewood/fleet.py
+++ b/primrosewood/fleet.py
@@ -89,7 +89,7 @@
             )
         )
 
-    def take_pair(self, key: str, pair: Pair | None) -> None:
+    def apply_pair(self, key: str, pair: Pair | None) -> None:
         """Apply a changed or deleted membership record."""
         name = key.removeprefix(MEMBERS_PREFIX)
         if pair is None:
@@ -98,9 +98,9 @@
                 view.leased = False
             self._changed.on_next(name)
             return
-        self.take_member(parse_member(pair.stored))
+        self.apply_member(parse_member(pair.stored))
 
-    def take_member(self, member: MemberRecord) -> None:
+    def apply_member(self, member: MemberRecord) -> None:
         """Add or update a member."""
         view = self._views.get(member.name)
         if view is None:
@@ -111,7 +111,7 @@
         view.vm_state = self._vm_states.get(member.vm, VmState.unseen)
         self._changed.on_next(member.name)
 
-    def take_vms(self, listed: dict[str, VmState]) -> None:
+    def apply_vm_list(self, listed: dict[str, VmState]) -> None:
         """Apply a complete VM list.
 
         A VM that was never on the list is left as unseen, because the list may
@@ -124,7 +124,7 @@
             vm = view.member.vm
             view.vm_state = self._vm_states.get(vm, VmState.unseen)
 
-    def forget_dead(self) -> bool:
+    def remove_dead_members(self) -> bool:
         """Remove dead members; return whether there were any."""
         now = self._clock.monotonic()
         # An endpoint that was paused past its lease still has its streams when
@@ -142,7 +142,7 @@
 
     def rebuild(self) -> None:
         """Remove dead members and select the subsets again."""
-        self.forget_dead()
+        self.remove_dead_members()
         candidates_by_service: dict[ServiceName, list[Candidate]] = {}
         for view in self.endpoints:
             member = view.member
--- a/primrosewood/kv.py
+++ b/primrosewood/kv.py
@@ -10,12 +10,12 @@
 
 __all__ = (
     'Change',
-    'Changes',
+    'ChangeList',
     'KeyValue',
     'Listing',
     'MemoryKeyValue',
     'Pair',
-    'Swap',
+    'SwapResult',
 )
 
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Swap:
+class SwapResult:
     """Outcome of a compare-and-swap.
 
     Attributes
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
+class ChangeList:
     """The changes below a prefix after a given revision.
 
     Attributes
@@ -108,7 +108,7 @@
     async def list_all(self, prefix: str) -> Listing:
         """Return all pairs below a prefix, with the revision of the service."""
 
-    async def list_changes(self, prefix: str, known: int) -> Changes:
+    async def list_changes(self, prefix: str, known: int) -> ChangeList:
         """Return the changes below a prefix after a revision, without waiting.
 
         Parameters
@@ -129,7 +129,7 @@
     @abstractmethod
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Write if the key is at revision ``expected`` (0 if absent)."""
 
     @abstractmethod
@@ -208,7 +208,7 @@
         revision = self._revision
         return Listing(await self.list_pairs(prefix), revision)
 
-    async def list_changes(self, prefix: str, known: int) -> Changes:
+    async def list_changes(self, prefix: str, known: int) -> ChangeList:
         """Return the changes below a prefix after a revision."""
         self.expire_leases()
         changes = [
@@ -216,18 +216,20 @@
             for change in self._history
             if change.revision > known and change.key.startswith(prefix)
         ]
-        return Changes(changes, self._revision)
+        return ChangeList(changes, self._revision)
 
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Write if the key is at revision ``expected`` (0 if absent)."""
         self.expire_leases()
         current = self._pairs.get(key)
         revision = current.revision if current else 0
         if revision != expected:
-            return Swap(swapped=False, current=current)
-        return Swap(swapped=True, revision=self._write(key, stored, lease))
+            return SwapResult(swapped=False, current=current)
+        return SwapResult(
+            swapped=True, revision=self._write(key, stored, lease)
+        )
 
     async def put(self, key: str, stored: bytes, lease: int = 0) -> int:
         """Write unconditionally and return the new revision."""
--- a/primrosewood/membership.py
+++ b/primrosewood/membership.py
@@ -92,7 +92,7 @@
         requests = self.load.running + self.load.queued + self.offered
         return requests / max(1, self.load.limit)
 
-    def take_load(self, load: Load) -> None:
+    def update_load(self, load: Load) -> None:
         """Replace the load with a newer report and reset the offers."""
         self.load = load
         self.offered = 0
--- a/primrosewood/platform/beliefs.py
+++ b/primrosewood/platform/beliefs.py
@@ -36,7 +36,7 @@
         self._changed = changed
         self._answered: bool | None = None
 
-    def take_pair(self, key: str, pair: Pair | None) -> None:
+    def apply_pair(self, key: str, pair: Pair | None) -> None:
         """Take a key's new value, None for a deletion."""
         if key == documents.TABLE_KEY:
             self._take_table(pair)
--- a/primrosewood/platform/entry.py
+++ b/primrosewood/platform/entry.py
@@ -97,7 +97,7 @@
         )
         self._reader = SharedReader(
             name=settings.name,
-            view=StoreView(self._store, _EVERYTHING, self._beliefs.take_pair),
+            view=StoreView(self._store, _EVERYTHING, self._beliefs.apply_pair),
             clock=self._clock,
             random=make_random(),
             send=self._engines.send_to_one,
@@ -184,7 +184,7 @@
 
     def _hear(self, message: Message, link: Link) -> None:
         if isinstance(message, wire.LimitTold):
-            self._limits.take_told(message)
+            self._limits.merge_from_peer(message)
         else:
             self._reader.handle(message, link)
 
--- a/primrosewood/settings.py
+++ b/primrosewood/settings.py
@@ -113,7 +113,7 @@
         self._changes.on_next(record)
         return True
 
-    def take_pair(self, key: str, pair: Pair | None) -> None:
+    def apply_pair(self, key: str, pair: Pair | None) -> None:
         """Apply a change from the key-value service; ignore deletions."""
         if pair is not None:
             team = key.removeprefix(SETTINGS_PREFIX)
--- a/primrosewood/sharedreader.py
+++ b/primrosewood/sharedreader.py
@@ -161,7 +161,7 @@
             deleted=change.pair is None,
             stored=change.pair.stored if change.pair else b'',
         )
-        older = self._view.find_older(change.key)
+        older = self._view.find_previous(change.key)
         # Most entries hold the version that this entry held. Those with
         # another version read the service, or query and get complete values.
         for_all_entries = asker == _ALL_ENTRIES
@@ -188,10 +188,10 @@
             # An earlier update was missed, or a pair cannot be applied. The
             # decoded changes are valid, but the view is not complete at the
             # update's revision: read at once.
-            self._view.take_told(changes, known)
+            self._view.merge_from_peer(changes, known)
             self._next_read_at = self._clock.monotonic()
             return
-        self._view.take_told(changes, update.newest)
+        self._view.merge_from_peer(changes, update.newest)
         self._mark_synced(self._clock.monotonic())
         self._cancel_read()
         if update.asker == self._name:
--- a/primrosewood/storeview.py
+++ b/primrosewood/storeview.py
@@ -60,7 +60,7 @@
         """Return the pair of a key, None if it is not known."""
         return self._known.get(key)
 
-    def find_older(self, key: str) -> Pair | None:
+    def find_previous(self, key: str) -> Pair | None:
         """Return the previous version of a key whose value is large."""
         return self._previous.get(key)
 
@@ -109,7 +109,7 @@
         ]
         return changes
 
-    def take_told(self, changes: Iterable[Change], newest: int) -> None:
+    def merge_from_peer(self, changes: Iterable[Change], newest: int) -> None:
         """Apply changes that a peer has read from the service.
 
         The next watch still starts at the last revision that the service
--- a/primrosewood/watcher.py
+++ b/primrosewood/watcher.py
@@ -9,14 +9,14 @@
 from .logs import log_event
 from .storeview import ChangeHandler, StoreView
 
-__all__ = ('WatchPace', 'Watcher')
+__all__ = ('PollSchedule', 'Watcher')
 
 _RETRY_SECONDS = 0.5
 _POLLS_PER_LISTING = 120
 
 
 @dataclass(frozen=True, slots=True)
-class WatchPace:
+class PollSchedule:
     """How often a prefix is polled in addition to the watch.
 
     Attributes
@@ -56,7 +56,7 @@
         self,
         store: KeyValue,
         prefix: str,
-        schedule: WatchPace,
+        schedule: PollSchedule,
         on_change: ChangeHandler,
     ) -> None:
         """Create a watcher with an empty view."""
--- a/tests/test_calllimits.py
+++ b/tests/test_calllimits.py
@@ -145,7 +145,7 @@
         self.limits.record_answer(self.backend, rate, self.clock.monotonic())
 
     def receive_report(self, rate, age_ms, calls=0):
-        self.limits.take_told(wire.LimitTold('i-1', rate, age_ms, calls))
+        self.limits.merge_from_peer(wire.LimitTold('i-1', rate, age_ms, calls))
 
     async def test_calls_are_reported_to_other_entries(self):
         self.announce_limit(2.0)
@@ -192,5 +192,5 @@
         self.assertEqual(1, len(self.reports))
 
     async def test_report_for_an_unknown_back_end(self):
-        self.limits.take_told(wire.LimitTold('i-2', 2.0, 0, 1))
+        self.limits.merge_from_peer(wire.LimitTold('i-2', 2.0, 0, 1))
         self.assertEqual(0, self.wait())
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -7,7 +7,7 @@
 from primrosewood.errors import HistoryLostError, StoreUnavailableError
 from primrosewood.gen_stored import MemberRecord
 from primrosewood.kv import Change, MemoryKeyValue, Pair
-from primrosewood.watcher import Watcher, WatchPace
+from primrosewood.watcher import PollSchedule, Watcher
 
 
 class _DelayedListingStore(MemoryKeyValue):
@@ -66,7 +66,7 @@
     async def begin_listing(self, store, stored):
         """Return a task of a listing that has been read but not returned."""
         await store.put('m/1', stored)
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.apply)
+        watcher = Watcher(store, 'm/', PollSchedule(1000), self.apply)
         store.release.set()
         running = asyncio.create_task(watcher.run())
         self.addCleanup(running.cancel)
@@ -112,7 +112,7 @@
         being accepted.
         """
         store = _SilentWatchStore()
-        pace = WatchPace(0.02, polls_per_listing=1)
+        pace = PollSchedule(0.02, polls_per_listing=1)
         watcher = Watcher(store, 'm/', pace, self.apply)
         running = asyncio.create_task(watcher.run())
         await store.put('m/1', b'1')
@@ -128,7 +128,7 @@
         the prefix has changed since.
         """
         store = _LostHistoryStore()
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.apply)
+        watcher = Watcher(store, 'm/', PollSchedule(1000), self.apply)
         running = asyncio.create_task(watcher.run())
         async with asyncio.timeout(5):
             while not store.rejected:
@@ -145,7 +145,7 @@
         """
         store = _DelayedListingStore()
         store.release.set()
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.apply)
+        watcher = Watcher(store, 'm/', PollSchedule(1000), self.apply)
         running = asyncio.create_task(watcher.run())
         await store.put('m/1', b'1')
         await self.wait_for({'m/1': b'1'})
@@ -163,7 +163,7 @@
         store = MemoryKeyValue()
         lease = await store.grant(30)
         await store.put('m/1', b'1', lease)
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.apply)
+        watcher = Watcher(store, 'm/', PollSchedule(1000), self.apply)
         await watcher.list_all()
         await store.revoke(lease)
         await watcher.list_all()
@@ -178,19 +178,21 @@
         store = MemoryKeyValue()
         await store.put('m/1', b'1')
         await store.put('m/2', b'2')
-        disconnected = Watcher(store, 'm/', WatchPace(1000), self.apply)
-        peer = Watcher(store, 'm/', WatchPace(1000), _ignore_change)
+        disconnected = Watcher(store, 'm/', PollSchedule(1000), self.apply)
+        peer = Watcher(store, 'm/', PollSchedule(1000), _ignore_change)
         await disconnected.list_all()
         await peer.list_all()
         await store.put('m/1', b'new')
         store.delete('m/2')
         await peer.list_all()
-        disconnected.take_told(
+        disconnected.merge_from_peer(
             peer.changes_since(disconnected.newest), peer.newest
         )
         self.assertEqual({'m/1': b'new'}, self.values_by_key)
         self.assertEqual(peer.newest, disconnected.newest)
-        disconnected.take_told([Change('m/1', 1, Pair('m/1', b'1', 1))], 1)
+        disconnected.merge_from_peer(
+            [Change('m/1', 1, Pair('m/1', b'1', 1))], 1
+        )
         self.assertEqual({'m/1': b'new'}, self.values_by_key)
         self.assertEqual(peer.newest, disconnected.newest)
 
@@ -201,12 +203,12 @@
         """
         store = MemoryKeyValue()
         await store.put('m/1', b'1')
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.apply)
+        watcher = Watcher(store, 'm/', PollSchedule(1000), self.apply)
         await watcher.list_all()
         await store.put('m/2', b'missed')
         await store.put('m/3', b'told')
         reported = await store.list_pairs('m/3')
-        watcher.take_told(
+        watcher.merge_from_peer(
             [Change(pair.key, pair.revision, pair) for pair in reported], 3
         )
         running = asyncio.create_task(watcher.run())
