--- a/primrosewood/entry.py
+++ b/primrosewood/entry.py
@@ -33,7 +33,7 @@
 from .settings import SETTINGS_PREFIX, SettingsStore
 from .unsent import has_unsent_data
 from .vmlist import VmListPoller
-from .watcher import Watcher, PollSchedule
+from .watcher import PollSchedule, Watcher
 
 __all__ = ('EntryProcess', 'main', 'run')
 
