--- a/primrosewood/caller.py
+++ b/primrosewood/caller.py
@@ -111,7 +111,7 @@
         started = time.monotonic()
         while answer.attempts < self._settings.max_attempts:
             await self._send_once(task, answer, started)
-            if not self._may_return(task, answer):
+            if not self._may_retry(task, answer):
                 break
             await asyncio.sleep(answer.retry_seconds)
         answer.seconds = time.monotonic() - started
@@ -169,7 +169,7 @@
         """
 
     @abstractmethod
-    def _may_return(self, task: Task, answer: CallerAnswer) -> bool:
+    def _may_retry(self, task: Task, answer: CallerAnswer) -> bool:
         """Tell whether a task may be sent again after an attempt."""
 
 
@@ -195,8 +195,8 @@
     ) -> None:
         await _ResponseReader(answer, started).read(response)
 
-    def _may_return(self, task: Task, answer: CallerAnswer) -> bool:
-        return _may_return(task, answer)
+    def _may_retry(self, task: Task, answer: CallerAnswer) -> bool:
+        return _may_retry(task, answer)
 
     def _headers(self, task: Task, answer: CallerAnswer) -> dict[str, str]:
         key = self._settings.key
@@ -267,7 +267,7 @@
         self._last_chunk_at = now
 
 
-def _may_return(task: Task, answer: CallerAnswer) -> bool:
+def _may_retry(task: Task, answer: CallerAnswer) -> bool:
     if answer.complete or not answer.error:
         return False
     if answer.error.startswith('cut_'):
--- a/primrosewood/invariants.py
+++ b/primrosewood/invariants.py
@@ -11,7 +11,7 @@
 __all__ = (
     'AnswerRecord',
     'History',
-    'OutPeriod',
+    'OutOfServicePeriod',
     'RunRecord',
     'SettingRecord',
     'check_history',
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OutPeriod:
+class OutOfServicePeriod:
     """A period in which an endpoint or failure domain was out of service.
 
     Attributes
@@ -114,7 +114,7 @@
 
     answers: list[AnswerRecord] = field(default_factory=list)
     runs: list[RunRecord] = field(default_factory=list)
-    out_of_service: list[OutPeriod] = field(default_factory=list)
+    out_of_service: list[OutOfServicePeriod] = field(default_factory=list)
     settings: list[SettingRecord] = field(default_factory=list)
 
 
@@ -175,7 +175,7 @@
 
 
 def check_out_of_service(
-    runs: Iterable[RunRecord], out_of_service: Iterable[OutPeriod]
+    runs: Iterable[RunRecord], out_of_service: Iterable[OutOfServicePeriod]
 ) -> list[str]:
     """Check that no work starts at an endpoint or domain that is out.
 
@@ -209,7 +209,7 @@
     return breaches
 
 
-def _started_while_out(run: RunRecord, period: OutPeriod) -> bool:
+def _started_while_out(run: RunRecord, period: OutOfServicePeriod) -> bool:
     if period.name not in {run.endpoint, run.failure_domain}:
         return False
     return period.since + period.grace_seconds < run.at < period.until
--- a/primrosewood/logs.py
+++ b/primrosewood/logs.py
@@ -50,7 +50,7 @@
 
     Fields must never hold prompts, answers or API keys.
     """
-    logger.bind(fields=fields).log(level, event)
+    logger.bind(pairs=fields).log(level, event)
 
 
 def log_decision(event: str, **fields: Any) -> None:
@@ -154,7 +154,7 @@
         'level': record['level'].name.lower(),
         'process': extra.get('process', '-'),
         'event': record['message'],
-        **extra.get('fields', {}),
+        **extra.get('pairs', {}),
     }
     line = ' '.join(
         f'{name}={_format_value(value)}'
--- a/primrosewood/losses.py
+++ b/primrosewood/losses.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from .loglines import OUTCOMES, LogLine
-from .logstory import trace_request
+from .requesttrace import trace_request
 
 __all__ = ('Loss', 'find_losses')
 
--- a/primrosewood/logstory.py
+++ b/primrosewood/requesttrace.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from .loglines import OUTCOMES, STOPPED, LogLine
+from .loglines import OUTCOMES, PROCESS_STOPPED, LogLine
 
 __all__ = ('RequestTrace', 'trace_request')
 
@@ -234,7 +234,7 @@
     state_lines: Sequence[LogLine],
 ) -> str:
     """Return why a generation ended after part of its answer was sent."""
-    if outcome.get('why') == STOPPED:
+    if outcome.get('why') == PROCESS_STOPPED:
         return f'{outcome.process} ended its planned stop before the answer'
     not_moved = [line for line in ordered if line.event == 'not_moved']
     lost = not_moved or [
@@ -281,7 +281,7 @@
 ) -> str:
     if outcomes[-1].get('kind') == 'leaving':
         return _explain_stop(ordered, outcomes[-1])
-    if outcomes[0].get('why') == STOPPED:
+    if outcomes[0].get('why') == PROCESS_STOPPED:
         return f'{outcomes[0].process} ended its planned stop, it may have run'
     failed = [line for line in ordered if line.event == 'send_failed']
     if failed:
--- a/tests/test_logstory.py
+++ b/tests/test_logstory.py
@@ -1,4 +1,4 @@
-"""Traces of requests, and the operators' commands that read log files."""
+"""Traces of requests (`requesttrace`), and the commands that read log files."""
 
 import contextlib
 import io
@@ -8,7 +8,7 @@
 
 from primrosewood.ctl import Ctl
 from primrosewood.loglines import count_outcomes, parse_lines
-from primrosewood.logstory import trace_request
+from primrosewood.requesttrace import trace_request
 
 
 def line(process, second, event, **fields):
--- a/tests/test_platform_explain.py
+++ b/tests/test_platform_explain.py
@@ -16,7 +16,7 @@
 
 from primrosewood.loglines import parse_lines
 from primrosewood.logs import configure_logs
-from primrosewood.logstory import trace_request
+from primrosewood.requesttrace import trace_request
 
 from .deployment import GUIDE, Deployment
 
