--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and the back ends, for tests and demo."""
+"""Stand-ins for the platform and the back ends, for tests and the demo."""
--- a/standins/backends.py
+++ b/standins/backends.py
@@ -1,7 +1,9 @@
-"""Stand-ins for the users' platform's engines and plain services.
+"""Stand-ins for the engines and plain services of the users' platform.
 
-Engines stream numbered events, copy their runs to each other and go on from a
-copy; services answer whole.  Both write down what they ran.
+An engine streams numbered events.  It can copy the KV cache of a generation,
+so that another engine continues from the copy.  A service sends its answer in
+one response.  Both record the calls that they ran.  They are HTTP handlers,
+for use in the test's own process.
 """
 
 import asyncio
@@ -11,23 +13,23 @@
 
 from aiohttp import web
 
-__all__ = ('Copies', 'EngineStandIn', 'Ran', 'ServiceStandIn')
+__all__ = ('Copies', 'EngineStandIn', 'RecordedCall', 'ServiceStandIn')
 
-_ATTEMPT = 'Primrosewood-Attempt-Id'
-_SEAL = 'Primrosewood-Response-Seal'
-_EXPECTED = 'Primrosewood-Expect-Instance'
-_NAME = 'Primrosewood-Instance-Id'
-_LIMIT = 'Server-Limit'
-_MISDIRECTED = 421
-_MISSING = 404
-_REFUSED = 503
-_MEMORY = 30_000
-_PROMPT = 1000
+_ATTEMPT_HEADER = 'Primrosewood-Attempt-Id'
+_SEAL_HEADER = 'Primrosewood-Response-Seal'
+_EXPECTED_HEADER = 'Primrosewood-Expect-Instance'
+_INSTANCE_HEADER = 'Primrosewood-Instance-Id'
+_RATE_LIMIT_HEADER = 'Server-Limit'
+_MISDIRECTED_REQUEST = 421
+_NOT_FOUND = 404
+_SERVICE_UNAVAILABLE = 503
+_KV_CAPACITY_TOKENS = 30_000
+_PROMPT_TOKENS = 1000
 
 
 @dataclass(frozen=True)
-class Ran:
-    """A call that a back end ran."""
+class RecordedCall:
+    """A call that a back end ran; ``name`` is its attempt id."""
 
     name: str
     method: str
@@ -38,50 +40,70 @@
 
 @dataclass
 class Copies:
-    """Memory of moved runs, shared by all engines: events made by handle."""
+    """KV cache copies that all engines of a test share.
+
+    Attributes
+    ----------
+    events
+        By the copy's handle: the number of events generated before the copy.
+    """
 
     events: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass
 class _Run:
+    """A generation with its event count, which includes those before a move."""
+
     name: str
     events: int = 0
     stopped: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class _Backend:
-    """What engines and services share.
+    """A back end that refuses calls on request and records those it runs.
 
     Attributes
     ----------
+    name
+        Instance id, which a caller may expect in a request header.
+    ran
+        The calls that ran, in order of arrival.
+    refusing
+        Whether new calls are answered with 503 and do not run.
     limit
-        Calls a second that its answers name, None for no limit.
+        Rate limit that the answers state, in calls per second; None for no
+        limit.
     arrived
-        When each call came, in monotonic seconds.
+        Arrival times of all calls, also refused ones, in monotonic seconds.
     """
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.ran: list[Ran] = []
+        self.ran: list[RecordedCall] = []
         self.refusing = False
         self.limit: float | None = None
         self.arrived: list[float] = []
 
-    def _refusal(self, request: web.BaseRequest) -> web.Response | None:
+    def _check_refusal(self, request: web.BaseRequest) -> web.Response | None:
+        """Record the arrival; return an answer if the call must not run."""
         self.arrived.append(time.monotonic())
-        if request.headers.get(_EXPECTED, self.name) != self.name:
-            return web.Response(status=_MISDIRECTED, headers={_NAME: self.name})
+        if request.headers.get(_EXPECTED_HEADER, self.name) != self.name:
+            return web.Response(
+                status=_MISDIRECTED_REQUEST,
+                headers={_INSTANCE_HEADER: self.name},
+            )
         if self.refusing:
             return web.Response(
-                status=_REFUSED, headers={'Primrosewood-Not-Executed': '1'}
+                status=_SERVICE_UNAVAILABLE,
+                headers={'Primrosewood-Not-Executed': '1'},
             )
         return None
 
-    async def _note(self, request: web.BaseRequest) -> dict[str, str]:
-        name = request.headers[_ATTEMPT]
+    async def _record_call(self, request: web.BaseRequest) -> dict[str, str]:
+        name = request.headers[_ATTEMPT_HEADER]
         self.ran.append(
-            Ran(
+            RecordedCall(
                 name,
                 request.method,
                 request.raw_path,
@@ -89,17 +111,26 @@
                 await request.read(),
             )
         )
-        headers = {_ATTEMPT: name, _SEAL: f'{self.name}.{name}'}
+        headers = {_ATTEMPT_HEADER: name, _SEAL_HEADER: f'{self.name}.{name}'}
         if self.limit is not None:
-            headers[_LIMIT] = str(self.limit)
+            headers[_RATE_LIMIT_HEADER] = str(self.limit)
         return headers
 
 
 class ServiceStandIn(_Backend):
-    """A plain service; ``answer`` may be replaced to misbehave."""
+    """A plain service.
+
+    Attributes
+    ----------
+    spoil
+        Called with each request before its answer is sent, for example to
+        reset the connection; None for no fault.
+    seconds
+        How long each call takes.
+    """
 
     def __init__(self, name: str, body: bytes = b'found') -> None:
-        """Answer each call with the body."""
+        """Create a service that answers each call with the same body."""
         super().__init__(name)
         self._body = body
         self.spoil: Callable[[web.BaseRequest], None] | None = None
@@ -107,10 +138,10 @@
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one call."""
-        refusal = self._refusal(request)
+        refusal = self._check_refusal(request)
         if refusal is not None:
             return refusal
-        headers = await self._note(request)
+        headers = await self._record_call(request)
         await asyncio.sleep(self.seconds)
         if self.spoil is not None:
             self.spoil(request)
@@ -122,14 +153,28 @@
 
     Parameters
     ----------
+    name
+        Instance id.
     address
-        ``host:port``, as others name it.
+        ``host:port`` under which the engine is registered.
     copies
-        Shared by all engines of a test.
+        KV cache copies, shared by all engines of a test.
+
+    Attributes
+    ----------
+    leaves_ms
+        Notice that an engine about to leave states in its report, in
+        milliseconds; None for an engine that stays.
+    powered
+        Whether the engine answers at all.
+    events
+        Number of events in each generation.
+    pause
+        Seconds between two events.
     """
 
     def __init__(self, name: str, address: str, copies: Copies) -> None:
-        """Start without runs."""
+        """Create an engine without generations."""
         super().__init__(name)
         self.address = address
         self.leaves_ms: float | None = None
@@ -147,32 +192,32 @@
         if request.path == '/report':
             return self._report()
         if request.path == '/healthz':
-            return web.Response(headers={_NAME: self.name})
+            return web.Response(headers={_INSTANCE_HEADER: self.name})
         if request.path == '/kv-move':
             return await self._move(request)
-        return self._refusal(request) or await self._generate(request)
+        return self._check_refusal(request) or await self._generate(request)
 
     def crash(self) -> None:
-        """Cut all streams."""
+        """Abort all streams; the engine itself keeps answering."""
         for run in list(self._runs.values()):
             run.stopped.set()
 
     def lose_power(self) -> None:
-        """Cut all streams and answer nothing more."""
+        """Abort all streams, and reset every later connection."""
         self.powered = False
         self.crash()
 
     def _report(self) -> web.Response:
         runs = [
-            [run.name, _PROMPT + run.events, run.events, 0]
+            [run.name, _PROMPT_TOKENS + run.events, run.events, 0]
             for run in self._runs.values()
         ]
         report = {
             'state': 'ready' if self.leaves_ms is None else 'draining',
             'queued': 0,
             'running': len(runs),
-            'kv_used': sum(row[1] for row in runs),
-            'kv_total': _MEMORY,
+            'kv_used': sum(run_report[1] for run_report in runs),
+            'kv_total': _KV_CAPACITY_TOKENS,
             'runs': runs,
         }
         if self.leaves_ms is not None:
@@ -180,33 +225,33 @@
         return web.json_response(report)
 
     async def _move(self, request: web.BaseRequest) -> web.Response:
-        order = await request.json()
-        run = self._runs.get(order['id'])
+        command = await request.json()
+        run = self._runs.get(command['id'])
         if run is None:
-            return web.Response(status=_MISSING)
+            return web.Response(status=_NOT_FOUND)
         handle = f'copy-{run.name}'
         self._copies.events[handle] = run.events
-        if order['last']:
+        if command['last']:
             run.stopped.set()
         return web.json_response(
             {'cache_handle': handle, 'created': run.events}
         )
 
     async def _generate(self, request: web.BaseRequest) -> web.StreamResponse:
-        first = 0
-        origin = request.headers.get('Kv-From', '')
-        if origin:
-            handle = origin.rpartition('/')[2]
+        previous_events = 0
+        copy_source = request.headers.get('Kv-From', '')
+        if copy_source:
+            handle = copy_source.rpartition('/')[2]
             if self._copies.events.pop(handle, None) is None:
                 return web.Response(
-                    status=_REFUSED,
+                    status=_SERVICE_UNAVAILABLE,
                     headers={'Primrosewood-Not-Executed': '1'},
                 )
-            first = int(request.headers.get('Last-Event-Id', '0'))
-        response = web.StreamResponse(headers=await self._note(request))
+            previous_events = int(request.headers.get('Last-Event-Id', '0'))
+        response = web.StreamResponse(headers=await self._record_call(request))
         response.content_type = 'text/event-stream'
         await response.prepare(request)
-        run = _Run(request.headers[_ATTEMPT], first)
+        run = _Run(request.headers[_ATTEMPT_HEADER], previous_events)
         self._runs[run.name] = run
         try:
             await self._stream(run, response)
--- a/standins/enginemodel.py
+++ b/standins/enginemodel.py
@@ -1,7 +1,9 @@
-"""An engine's behaviour as a plain object, stepped by whoever owns time.
+"""Simulation of a model engine that decodes in discrete steps.
 
-It batches continuously in limited memory, preempts when that runs out,
-caches prompt prefixes, starts slowly and can turn cold again.
+The engine does continuous batching within a limited KV cache, preempts
+streams when the cache is full, caches prompt prefixes, is slow while cold and
+can turn cold again.  It keeps no time of its own: the caller advances a real
+or virtual clock by the duration of each step.
 """
 
 import random
@@ -18,21 +20,25 @@
     Attributes
     ----------
     capacity
-        Memory in tokens.
+        Size of the KV cache, in tokens.
     most_running
-        Largest batch.
+        Largest batch, in streams.
     step, step_each
-        Seconds of one decoding step, and for each stream in it.
+        Seconds that one decoding step takes, and the seconds that each stream
+        of the batch adds.
     prefill_rate
-        Prompt tokens read a second.
+        Prompt tokens processed per second.
     cold_tokens
-        Tokens after which a cold engine is warm.
+        Tokens that a cold engine generates before it is warm; 0 for an engine
+        that is warm from the start.
     cold_factor
-        How much slower a cold engine is for each stream in the batch.
-    cold_streams
-        Streams that a cold engine bears without growing slower still.
-    cached_prefixes
-        Prompt prefixes kept.
+        Factor by which a cold engine is slower than a warm one.
+    cold_batch_size
+        Batch size above which a cold engine slows down further, in proportion
+        to the batch.
+    max_cached_prefixes
+        Prompt prefixes that the cache keeps; the least recently used is
+        evicted.
     """
 
     capacity: int = 6000
@@ -42,13 +48,30 @@
     prefill_rate: float = 8000.0
     cold_tokens: int = 0
     cold_factor: float = 4.0
-    cold_streams: int = 2
-    cached_prefixes: int = 32
+    cold_batch_size: int = 2
+    max_cached_prefixes: int = 32
 
 
 @dataclass(slots=True)
 class ModelStream:
-    """One generation; ``length`` is hidden from the system under test."""
+    """A generation.
+
+    Attributes
+    ----------
+    prompt_tokens
+        Length of the prompt.
+    length
+        Tokens that the generation will produce; the system under test cannot
+        know it beforehand.
+    priority
+        A stream with a higher one is admitted earlier and preempted later.
+    produced
+        Tokens produced so far.
+    preempted
+        How often the stream was preempted.
+    cached
+        Whether the prompt's prefix was in the cache at the last admission.
+    """
 
     name: str
     prompt: str
@@ -62,13 +85,13 @@
 
     @property
     def held(self) -> int:
-        """Tokens of memory it holds while it runs."""
+        """Tokens of KV cache that the stream holds while it runs."""
         return self.prompt_tokens + self.produced
 
 
 @dataclass(slots=True)
 class Step:
-    """What one step did."""
+    """Duration of a decoding step, and the streams that it affected."""
 
     seconds: float
     emitted: list[ModelStream] = field(default_factory=list)
@@ -77,44 +100,44 @@
 
 
 class EngineModel:
-    """A continuously batching engine."""
+    """An engine with continuous batching."""
 
     def __init__(self, shape: EngineShape, seed: int = 0) -> None:
-        """Start cold when the shape says so."""
+        """Create an idle engine; it is cold if the shape has cold tokens."""
         self.shape = shape
         self.running: list[ModelStream] = []
         self.waiting: list[ModelStream] = []
         self.preemptions = 0
         self.cache_events: list[str] = []
         self._random = random.Random(seed)
-        self._prefixes: OrderedDict[str, None] = OrderedDict()
-        self._warmed = 0
+        self._prefix_cache: OrderedDict[str, None] = OrderedDict()
+        self._tokens_since_cold = 0
 
     @property
     def memory(self) -> int:
-        """Tokens of memory in use."""
+        """Tokens of KV cache in use."""
         return sum(stream.held for stream in self.running)
 
     @property
     def cold(self) -> bool:
-        """Whether the engine has yet to warm up."""
-        return self._warmed < self.shape.cold_tokens
+        """Whether the engine is still cold."""
+        return self._tokens_since_cold < self.shape.cold_tokens
 
     def warm_up(self) -> None:
-        """Start warm."""
-        self._warmed = self.shape.cold_tokens
+        """Make the engine warm at once."""
+        self._tokens_since_cold = self.shape.cold_tokens
 
     def turn_cold(self) -> None:
-        """Lose the warmth and the prefix cache."""
-        self._warmed = 0
-        self._prefixes.clear()
+        """Make the engine cold and empty the prefix cache."""
+        self._tokens_since_cold = 0
+        self._prefix_cache.clear()
 
     def submit(self, stream: ModelStream) -> None:
-        """Queue a generation."""
+        """Add a generation to the queue."""
         self.waiting.append(stream)
 
     def cancel(self, name: str) -> bool:
-        """Drop a generation."""
+        """Remove a running or queued stream; return whether there was one."""
         for streams in (self.running, self.waiting):
             for stream in streams:
                 if stream.name == name:
@@ -123,59 +146,62 @@
         return False
 
     def step(self) -> Step:
-        """Take one decoding step."""
-        prefill = self._admit()
-        result = Step(seconds=self._duration(prefill))
+        """Run one step: admit, decode, and preempt when memory is full."""
+        prefill_tokens = self._admit()
+        result = Step(seconds=self._step_seconds(prefill_tokens))
         for stream in list(self.running):
             stream.produced += 1
             result.emitted.append(stream)
             if stream.produced >= stream.length:
                 self.running.remove(stream)
                 result.finished.append(stream)
-        self._warmed += len(result.emitted)
+        self._tokens_since_cold += len(result.emitted)
         while self.memory > self.shape.capacity and len(self.running) > 1:
             result.preempted.append(self._preempt())
         return result
 
     def _admit(self) -> int:
-        prefill = 0
+        prefill_tokens = 0
         self.waiting.sort(key=lambda stream: -stream.priority)
         while self.waiting and len(self.running) < self.shape.most_running:
             stream = self.waiting[0]
-            room = self.shape.capacity - self.memory
-            if self.running and stream.held + 1 > room:
+            free_tokens = self.shape.capacity - self.memory
+            if self.running and stream.held + 1 > free_tokens:
                 break
             self.waiting.pop(0)
             self.running.append(stream)
-            prefill += self._read_prompt(stream)
-        return prefill
+            prefill_tokens += self._prefill(stream)
+        return prefill_tokens
 
-    def _read_prompt(self, stream: ModelStream) -> int:
+    def _prefill(self, stream: ModelStream) -> int:
+        """Update the prefix cache; return the tokens to be processed."""
         prefix = stream.prompt[:_PREFIX_CHARACTERS]
-        stream.cached = prefix in self._prefixes
-        self._prefixes[prefix] = None
-        self._prefixes.move_to_end(prefix)
+        stream.cached = prefix in self._prefix_cache
+        self._prefix_cache[prefix] = None
+        self._prefix_cache.move_to_end(prefix)
         self.cache_events.append(prefix)
-        if len(self._prefixes) > self.shape.cached_prefixes:
-            self._prefixes.popitem(last=False)
-        # A preempted stream has to read again what it had produced.
-        read = stream.produced
-        return read if stream.cached else read + stream.prompt_tokens
-
-    def _duration(self, prefill: int) -> float:
+        if len(self._prefix_cache) > self.shape.max_cached_prefixes:
+            self._prefix_cache.popitem(last=False)
+        # A preempted stream has to recompute the tokens it had produced.
+        recomputed = stream.produced
+        return (
+            recomputed if stream.cached else recomputed + stream.prompt_tokens
+        )
+
+    def _step_seconds(self, prefill_tokens: int) -> float:
         shape = self.shape
-        batch = len(self.running)
-        seconds = shape.step + shape.step_each * batch
-        seconds += prefill / shape.prefill_rate
+        batch_size = len(self.running)
+        seconds = shape.step + shape.step_each * batch_size
+        seconds += prefill_tokens / shape.prefill_rate
         if self.cold:
             seconds *= shape.cold_factor
-            seconds *= max(1.0, batch / shape.cold_streams)
+            seconds *= max(1.0, batch_size / shape.cold_batch_size)
         return seconds
 
     def _preempt(self) -> ModelStream:
-        # The newest of the lowest priority goes, as engines of this kind do.
-        least = min(stream.priority for stream in self.running)
-        victim = [each for each in self.running if each.priority == least][-1]
+        # Real engines also preempt the newest stream of the lowest priority.
+        lowest = min(stream.priority for stream in self.running)
+        victim = [each for each in self.running if each.priority == lowest][-1]
         self.running.remove(victim)
         victim.preempted += 1
         self.preemptions += 1
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,8 +1,8 @@
-"""Stand-ins of a whole deployment on the users' platform, in one process.
+"""Stand-ins for everything that a deployment on the users' platform calls.
 
-Its key-value service, two or more engines, each on a loopback address of its
-own, and one plain service, all registered.  Faults are switched from outside
-by ``POST /faults``.
+One process serves the key-value service, two or more engines and one plain
+service.  Each has its own loopback address, and all back ends are registered.
+Faults are set from outside by ``POST /faults``.
 """
 
 import asyncio
@@ -18,22 +18,32 @@
 
 __all__ = ('Fleet', 'make_record', 'make_route')
 
-_MILLISECONDS = 1000
-_HOST = 'h.example'
-_KEY = 'key-1'
+_MS_PER_SECOND = 1000
+_ROUTE_HOST = 'h.example'
+_API_KEY = 'key-1'
 _OK = 200
-_DRAIN = 'draining'
-# Streams of two seconds outlast the notice of an engine that leaves.
-_EVENTS = 100
-_SLOTS = 32
-_SERVICE = 'i-desk'
+_DRAINING = 'draining'
+# 2 s for each stream, which outlasts the notice of an engine that leaves.
+_EVENTS_PER_STREAM = 100
+_SLOTS_PER_BACKEND = 32
+_SERVICE_NAME = 'i-desk'
 
 
 def make_route(name: str, path: str, kind: str, service: str, **fields) -> dict:
-    """Return one route of an operators' table."""
+    """Return a route of the operators' routing table.
+
+    Parameters
+    ----------
+    path
+        Path prefix that the route matches.
+    kind
+        ``streaming``, ``idempotent`` or ``non_idempotent``.
+    **fields
+        Further fields of the route, or other values for the defaults.
+    """
     return {
         'name': name,
-        'host': _HOST,
+        'host': _ROUTE_HOST,
         'path_prefix': path,
         'route_kind': kind,
         'timeout_ms': 5000,
@@ -45,7 +55,15 @@
 
 
 def make_record(service: str, address: str, **fields) -> dict:
-    """Return a back end's record."""
+    """Return the record under which a back end is registered.
+
+    Parameters
+    ----------
+    address
+        The back end's ``host:port``.
+    **fields
+        Further fields of the record, or other values for the defaults.
+    """
     return {
         'service': service,
         'address': address,
@@ -58,41 +76,47 @@
 
 @dataclass
 class Fleet:
-    """The deployment.
+    """All stand-ins of a deployment.
 
     Attributes
     ----------
     port
-        Of everything; each stand-in has a host of its own.
+        Port of all stand-ins; each has its own loopback host.
+    store_stand_in
+        The key-value service.
+    engines
+        The engines by name.
+    service
+        The plain service.
     """
 
     port: int
-    stand_in: StoreStandIn = field(default_factory=StoreStandIn)
+    store_stand_in: StoreStandIn = field(default_factory=StoreStandIn)
     engines: dict[str, EngineStandIn] = field(default_factory=dict)
     service: ServiceStandIn = field(
-        default_factory=lambda: ServiceStandIn(_SERVICE)
+        default_factory=lambda: ServiceStandIn(_SERVICE_NAME)
     )
     _tasks: set[asyncio.Task] = field(default_factory=set)
 
     async def start(self, engines: int) -> None:
-        """Serve and register everything."""
-        app = self.stand_in.make_app()
+        """Start all stand-ins and register the back ends."""
+        app = self.store_stand_in.make_app()
         app.router.add_post('/faults', self._set_faults)
         runner = web.AppRunner(app, shutdown_timeout=0)
         await self._listen(runner, '127.0.0.1')
-        await self._put('op/config', _make_table())
+        await self._put('op/config', _make_routing_table())
         copies = Copies()
         for number in range(1, engines + 1):
-            host = _host_of(number + 1)
+            host = _loopback_host(number + 1)
             name = f'i-{number}'
-            engine = EngineStandIn(name, self._address(host), copies)
-            engine.events = _EVENTS
+            engine = EngineStandIn(name, self._address_at(host), copies)
+            engine.events = _EVENTS_PER_STREAM
             self.engines[name] = engine
             await self._serve(engine.handle, host)
             await self._register(name, 'model', host)
-        host = _host_of(engines + 2)
+        host = _loopback_host(engines + 2)
         await self._serve(self.service.handle, host)
-        await self._register(_SERVICE, 'desk', host)
+        await self._register(_SERVICE_NAME, 'desk', host)
 
     async def _serve(self, handler, host: str) -> None:
         server = web.Server(handler, handler_cancellation=True)
@@ -103,51 +127,60 @@
         await web.TCPSite(runner, host, self.port).start()
 
     async def _register(self, name: str, service: str, host: str) -> None:
-        record = make_record(service, self._address(host), slots=_SLOTS)
+        record = make_record(
+            service, self._address_at(host), slots=_SLOTS_PER_BACKEND
+        )
         await self._put(f'servers/{name}', record)
 
-    def _address(self, host: str) -> str:
+    def _address_at(self, host: str) -> str:
         return f'{host}:{self.port}'
 
     async def _put(self, key: str, document: dict) -> None:
-        await self.stand_in.store.put(key, json.dumps(document).encode())
+        await self.store_stand_in.store.put(key, json.dumps(document).encode())
 
     async def _set_faults(self, request: web.Request) -> web.Response:
-        """Set the service's faults, and let engines leave.
+        """Set the key-value service's faults and the back ends' behaviour.
 
-        The body has the fields of ``StoreFaults``, under ``leave`` the
-        milliseconds of notice for each engine that goes, and under ``limits``
-        the calls a second that a back end takes, or null.
+        The body has fields of ``StoreFaults``.  Under ``leave`` it may give
+        the notice in milliseconds by the names of engines that leave, and
+        under ``limits`` the calls per second by the names of back ends; null
+        removes a limit.
         """
-        wanted = await request.json()
-        back_ends = {**self.engines, _SERVICE: self.service}
-        for name, rate in wanted.pop('limits', {}).items():
+        faults = await request.json()
+        back_ends = {**self.engines, _SERVICE_NAME: self.service}
+        for name, rate in faults.pop('limits', {}).items():
             back_ends[name].limit = rate
-        for name, notice in wanted.pop('leave', {}).items():
-            task = asyncio.create_task(self._leave(name, notice))
+        for name, notice_ms in faults.pop('leave', {}).items():
+            task = asyncio.create_task(self._leave(name, notice_ms))
             self._tasks.add(task)
-        for fault, setting in wanted.items():
-            setattr(self.stand_in.faults, fault, setting)
+        for fault, value in faults.items():
+            setattr(self.store_stand_in.faults, fault, value)
         return web.Response(status=_OK)
 
-    async def _leave(self, name: str, notice: float) -> None:
+    async def _leave(self, name: str, notice_ms: float) -> None:
+        """Announce that an engine leaves, and end it after the notice."""
         engine = self.engines[name]
-        engine.leaves_ms = notice
+        engine.leaves_ms = notice_ms
         await self._put(
             f'servers/{name}',
-            make_record('model', engine.address, slots=_SLOTS, state=_DRAIN),
+            make_record(
+                'model',
+                engine.address,
+                slots=_SLOTS_PER_BACKEND,
+                state=_DRAINING,
+            ),
         )
-        await asyncio.sleep(notice / _MILLISECONDS)
+        await asyncio.sleep(notice_ms / _MS_PER_SECOND)
         engine.lose_power()
-        self.stand_in.store.delete(f'servers/{name}')
+        self.store_stand_in.store.delete(f'servers/{name}')
 
 
-def _host_of(place: int) -> str:
-    return f'127.0.0.{place}'
+def _loopback_host(last_octet: int) -> str:
+    return f'127.0.0.{last_octet}'
 
 
-def _make_table() -> dict:
-    """Return routes for the load tool's workloads."""
+def _make_routing_table() -> dict:
+    """Return a routing table for the load tool's workloads."""
     return {
         'version': 1,
         'routes': [
@@ -164,11 +197,11 @@
             },
             {'name': 'desk'},
         ],
-        'tenants': [{'name': 'o1', 'api_keys': [_KEY]}],
+        'tenants': [{'name': 'o1', 'api_keys': [_API_KEY]}],
     }
 
 
-async def _run(port: int, engines: int) -> None:
+async def _serve_forever(port: int, engines: int) -> None:
     await Fleet(port).start(engines)
     sys.stdout.write('listening\n')
     sys.stdout.flush()
@@ -176,8 +209,16 @@
 
 
 def main(port: int, engines: int = 2) -> None:
-    """Serve until killed."""
-    asyncio.run(_run(port, engines))
+    """Serve until killed; print ``listening`` when all stand-ins are up.
+
+    Parameters
+    ----------
+    port
+        Port of all stand-ins, each on its own loopback address.
+    engines
+        Number of engines.
+    """
+    asyncio.run(_serve_forever(port, engines))
 
 
 if __name__ == '__main__':
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,9 @@
-"""Stand-in for a plain service: supplier reorders and stock look-ups."""
+"""Stand-in for a plain service: supplier reorders and stock look-ups.
+
+A process of its own, for tests and the demo.  Faults are set from outside by
+``POST /faults``: ``slow`` delays answers by so many seconds, and ``cut_after``
+resets the connections of so many calls after they ran.
+"""
 
 import asyncio
 import time
@@ -9,20 +14,20 @@
 from .serving import serve
 
 _CREATED = 201
-_LONGEST_BODY = 16_000_000
+_MAX_BODY_BYTES = 16_000_000
 
 
 class ServiceStandIn:
-    """HTTP handlers with a record of every run."""
+    """HTTP handlers that record every call which they run."""
 
     def __init__(self) -> None:
-        """Start without orders."""
+        """Create a service without recorded calls."""
         self._runs: list[dict] = []
         self._faults: dict = {}
 
     def make_app(self) -> web.Application:
         """Return the application."""
-        app = web.Application(client_max_size=_LONGEST_BODY)
+        app = web.Application(client_max_size=_MAX_BODY_BYTES)
         app.router.add_post('/reorders', self._reorder)
         app.router.add_get('/stock/{item}', self._look_up)
         app.router.add_post('/faults', self._set_faults)
@@ -35,7 +40,7 @@
         serial = len(self._runs)
         await asyncio.sleep(self._faults.get('slow', 0))
         if self._faults.get('cut_after', 0):
-            # The order stands, but its answer never leaves.
+            # The reorder has been recorded, but its answer is never sent.
             self._faults['cut_after'] -= 1
             request.transport.abort()
         return web.json_response(
@@ -71,7 +76,15 @@
 
 
 def main(port: int, late: float = 0) -> None:
-    """Serve until killed, from some seconds after the start on."""
+    """Serve until killed.
+
+    Parameters
+    ----------
+    port
+        Port on loopback.
+    late
+        Seconds to wait before the port is opened.
+    """
     time.sleep(late)
     app = ServiceStandIn().make_app()
     serve(app, port)
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serving of a stand-in on loopback."""
+"""Serves a stand-in on loopback."""
 
 from aiohttp import web
 
@@ -6,7 +6,10 @@
 
 
 def serve(app: web.Application, port: int) -> None:
-    """Serve until killed; open watches and streams are cut at once."""
+    """Serve until killed, without logging.
+
+    At the end, open watches and streams are aborted after a short timeout.
+    """
     web.run_app(
         app,
         host='127.0.0.1',
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,7 +1,6 @@
-"""Stand-in for the users' platform's key-value service, as HTTP calls.
+"""Stand-in for the HTTP key-value service of the users' platform.
 
-Faults are switched from outside: `down`, `silent`, `mute_watches`,
-`lose_writes`, `history_from`, `drip_seconds` and `stall`.
+Faults are set from outside, as the attributes of ``StoreFaults``.
 """
 
 import asyncio
@@ -15,38 +14,41 @@
 
 __all__ = ('StoreFaults', 'StoreStandIn')
 
-_MILLISECONDS = 1000
-_FOREVER = 3600
+_MS_PER_SECOND = 1000
+_FOREVER_SECONDS = 3600
 _OK = 200
-_DOWN = 503
+_SERVICE_UNAVAILABLE = 503
 _GONE = 410
-_CONFLICT = 412
-_MISSING = 404
-_CALLS = '/kv-'
-# Of a body that comes slowly.
-_PIECES = 10
+_PRECONDITION_FAILED = 412
+_NOT_FOUND = 404
+_CALL_PREFIX = '/kv-'
+# Number of parts in which a slow body is sent.
+_BODY_PARTS = 10
 
 
 @dataclass
 class StoreFaults:
-    """What is wrong with the service.
+    """The faults that the service shows.
 
     Attributes
     ----------
     down
-        Calls are refused.
+        Calls are refused with 503.
     silent
-        Calls get no answer.
+        Calls get no answer, and their connections stay open.
     mute_watches
-        Watches hear nothing, without a sign.
+        Watches report no changes: each ends empty after its wait, like one
+        during which nothing changed.
     lose_writes
-        Writes are done and their answers lost.
+        Writes are executed, but their connections are reset before the
+        answer.
     history_from
-        Older changes have been dropped.
+        Oldest revision after which a watch may begin; an older one is
+        refused with 410, as its changes have been compacted.
     drip_seconds
-        An answer's body comes in pieces over this time.
+        Each body is sent in parts over this time; 0 sends it at once.
     stall
-        After half of such a body nothing more comes.
+        Such a body stops after its first half, and the connection stays open.
     """
 
     down: bool = False
@@ -60,7 +62,17 @@
 
 @dataclass
 class StoreStandIn:
-    """HTTP handlers over the key-value service in memory."""
+    """HTTP handlers over a key-value service in memory.
+
+    Attributes
+    ----------
+    store
+        The keys, leases and changes.
+    faults
+        The faults that calls meet from now on.
+    calls
+        Number of calls received.
+    """
 
     store: MemoryKeyValue = field(default_factory=MemoryKeyValue)
     faults: StoreFaults = field(default_factory=StoreFaults)
@@ -68,25 +80,27 @@
 
     def make_app(self) -> web.Application:
         """Return the application."""
-        app = web.Application(middlewares=(self._spoil,))
+        app = web.Application(middlewares=(self._apply_faults,))
         app.router.add_get('/kv-key', self._fetch)
         app.router.add_get('/kv-range', self._list)
         app.router.add_get('/kv-watch', self._watch)
         app.router.add_post('/kv-txn', self._write)
         app.router.add_post('/kv-lease', self._grant)
-        app.router.add_post('/kv-keep/{lease}', self._keep)
+        app.router.add_post('/kv-keep/{lease}', self._keep_alive)
         app.router.add_delete('/kv-lease-end/{lease}', self._revoke)
         return app
 
     @web.middleware
-    async def _spoil(self, request: web.Request, handler) -> web.Response:
-        if not request.path.startswith(_CALLS):
-            # Faults are switched while the service is away.
+    async def _apply_faults(
+        self, request: web.Request, handler
+    ) -> web.Response:
+        if not request.path.startswith(_CALL_PREFIX):
+            # Other paths, such as /faults, work while the service is down.
             return await handler(request)
         self.calls += 1
         self.store.expire_leases()
         response = await self._refuse() or await handler(request)
-        # A watch may have waited since before the fault.
+        # The fault may have been set while a watch was waiting.
         response = await self._refuse() or response
         if self.faults.lose_writes and request.method == 'POST':
             request.transport.abort()
@@ -95,41 +109,46 @@
         return response
 
     async def _drip(
-        self, request: web.Request, whole: web.Response
+        self, request: web.Request, complete: web.Response
     ) -> web.StreamResponse:
+        """Send a complete response slowly, in parts."""
         response = web.StreamResponse(
-            status=whole.status, headers={'Content-Type': 'application/json'}
+            status=complete.status, headers={'Content-Type': 'application/json'}
         )
-        body = whole.body or b''
+        body = complete.body or b''
         response.content_length = len(body)
         await response.prepare(request)
-        for number in range(_PIECES):
-            if self.faults.stall and number == _PIECES // 2:
-                await asyncio.sleep(_FOREVER)
-            await asyncio.sleep(self.faults.drip_seconds / _PIECES)
-            first = len(body) * number // _PIECES
-            last = len(body) * (number + 1) // _PIECES
-            await response.write(body[first:last])
+        for number in range(_BODY_PARTS):
+            if self.faults.stall and number == _BODY_PARTS // 2:
+                await asyncio.sleep(_FOREVER_SECONDS)
+            await asyncio.sleep(self.faults.drip_seconds / _BODY_PARTS)
+            start = len(body) * number // _BODY_PARTS
+            stop = len(body) * (number + 1) // _BODY_PARTS
+            await response.write(body[start:stop])
         return response
 
     async def _refuse(self) -> web.Response | None:
         if self.faults.silent:
-            await asyncio.sleep(_FOREVER)
-        return web.Response(status=_DOWN) if self.faults.down else None
+            await asyncio.sleep(_FOREVER_SECONDS)
+        return (
+            web.Response(status=_SERVICE_UNAVAILABLE)
+            if self.faults.down
+            else None
+        )
 
     async def _fetch(self, request: web.Request) -> web.Response:
         pair = await self.store.fetch(request.query['key'])
         if pair is None:
-            return web.Response(status=_MISSING)
+            return web.Response(status=_NOT_FOUND)
         return self._answer(_to_item(pair))
 
     async def _list(self, request: web.Request) -> web.Response:
         pairs = await self.store.list_pairs(request.query['path_prefix'])
         after = request.query.get('after', '')
         items = [_to_item(pair) for pair in pairs if pair.key > after]
-        # Small pages, so that tests meet the second one.
-        page = items[:_PAGE]
-        more = len(items) > _PAGE
+        # Pages are small, so that tests read more than one.
+        page = items[:_PAGE_SIZE]
+        more = len(items) > _PAGE_SIZE
         return self._answer({'items': page, 'has_more': more})
 
     async def _watch(self, request: web.Request) -> web.Response:
@@ -137,45 +156,47 @@
         if after < self.faults.history_from:
             return web.Response(status=_GONE)
         prefix = request.query['path_prefix']
-        seconds = int(request.query['wait_ms']) / _MILLISECONDS
+        seconds = int(request.query['wait_ms']) / _MS_PER_SECOND
         changes = self.store.watch(prefix, after + 1)
         try:
             async with asyncio.timeout(seconds):
                 await anext(changes)
                 while self.faults.mute_watches:
-                    await asyncio.sleep(_FOREVER)
+                    await asyncio.sleep(_FOREVER_SECONDS)
         except TimeoutError:
             if self.faults.mute_watches:
                 return self._answer({'events': []})
-        # Also after a wait that was too short to see what stood there before.
-        seen = await self.store.list_changes(prefix, after)
-        events = [_to_event(change) for change in seen.changes]
+        # A short wait may time out before it reports even earlier changes.
+        recent = await self.store.list_changes(prefix, after)
+        events = [_to_event(change) for change in recent.changes]
         return self._answer({'events': events})
 
     async def _write(self, request: web.Request) -> web.Response:
         body = await request.json()
-        for row in body['expected']:
-            pair = await self.store.fetch(row['key'])
-            found = [_to_item(pair)] if pair else []
-            standing = pair.revision if pair else 0
-            if standing != row['revision']:
-                return web.json_response({'items': found}, status=_CONFLICT)
+        for expected in body['expected']:
+            pair = await self.store.fetch(expected['key'])
+            current = [_to_item(pair)] if pair else []
+            revision = pair.revision if pair else 0
+            if revision != expected['revision']:
+                return web.json_response(
+                    {'items': current}, status=_PRECONDITION_FAILED
+                )
         for key in body['remove']:
             self.store.delete(key)
-        for row in body['puts']:
-            stored = base64.b64decode(row['value'])
-            await self.store.put(row['key'], stored, row.get('lease', 0))
+        for put in body['puts']:
+            stored = base64.b64decode(put['value'])
+            await self.store.put(put['key'], stored, put.get('lease', 0))
         return web.json_response({'revision': self.store.revision})
 
     async def _grant(self, request: web.Request) -> web.Response:
         body = await request.json()
-        seconds = body['ttl_ms'] // _MILLISECONDS
+        seconds = body['ttl_ms'] // _MS_PER_SECOND
         lease = await self.store.grant(seconds)
         return web.json_response({'lease': lease, 'ttl_ms': body['ttl_ms']})
 
-    async def _keep(self, request: web.Request) -> web.Response:
-        held = await self.store.keep_alive(int(request.match_info['lease']))
-        return web.Response(status=_OK if held else _MISSING)
+    async def _keep_alive(self, request: web.Request) -> web.Response:
+        alive = await self.store.keep_alive(int(request.match_info['lease']))
+        return web.Response(status=_OK if alive else _NOT_FOUND)
 
     async def _revoke(self, request: web.Request) -> web.Response:
         await self.store.revoke(int(request.match_info['lease']))
@@ -187,7 +208,7 @@
         )
 
 
-_PAGE = 3
+_PAGE_SIZE = 3
 
 
 def _to_item(pair: Pair) -> dict[str, Any]:
