--- a/primrosewood/gen_caller.py
+++ b/primrosewood/gen_caller.py
@@ -9,7 +9,7 @@
 
 class Caller(Struct):
     """
-    Bodies of callers' requests, as far as the system reads them.
+    Request bodies of callers: the fields that the system reads.
     """
 
 
--- a/primrosewood/gen_node.py
+++ b/primrosewood/gen_node.py
@@ -9,7 +9,7 @@
 
 class EndpointNode(Struct, forbid_unknown_fields=True):
     """
-    The engine beside the process.
+    The engine that the process runs beside.
     """
 
     engine: Annotated[
@@ -27,7 +27,7 @@
 
 class EntryNode(Struct, forbid_unknown_fields=True):
     """
-    What an entry serves.
+    Addresses on which an entry listens.
     """
 
     callers: Annotated[
@@ -127,7 +127,7 @@
 
 class SharedLimits(Struct, forbid_unknown_fields=True):
     """
-    Bounds that hold for all entries together.
+    Limits that all entries share.
     """
 
     stop_seconds: Annotated[float, Meta(description='From SIGTERM to SIGKILL.', ge=0.0)]
--- a/primrosewood/gen_stored.py
+++ b/primrosewood/gen_stored.py
@@ -9,7 +9,7 @@
 
 class Change(Struct, forbid_unknown_fields=True):
     """
-    One accepted change of a team's subtree.
+    An accepted change of a team's settings.
     """
 
     revision: int
@@ -37,13 +37,13 @@
 
 class Stored(Struct):
     """
-    Values kept in the key-value service.
+    Values stored in the key-value service.
     """
 
 
 class StoredSettings(Struct, forbid_unknown_fields=True):
     """
-    The value kept for one team in the key-value service.
+    A team's settings, as stored in the key-value service.
     """
 
     revision: Annotated[int, Meta(ge=1)]
--- a/primrosewood/gen_wire.py
+++ b/primrosewood/gen_wire.py
@@ -15,7 +15,7 @@
 
 class CallPlaced(Struct, array_like=True):
     """
-    An entry sends a generation to the engine beside the receiver now.
+    Announces a generation that an entry is sending to the engine beside the receiver.
     """
 
     attempt: Annotated[str, Meta(description="The caller's name for the attempt.")]
@@ -55,7 +55,7 @@
 
 class ClaimAsk(Struct, array_like=True):
     """
-    A claim for the writer of its shard.
+    A claim, sent to the process that writes its shard.
     """
 
     attempt: Annotated[str, Meta(description='Channel of the answer.')]
@@ -73,7 +73,7 @@
 
 class ClaimRecord(Struct, array_like=True):
     """
-    Who may run the request of an idempotency key.
+    The claim of the attempt that may run the request of an idempotency key.
     """
 
     digest: str
@@ -91,7 +91,7 @@
 
 class ClaimTold(Struct, array_like=True):
     """
-    The claim that stands; null when the service did not answer.
+    The claim in force; null when the writer could not read or write it.
     """
 
     attempt: str
@@ -106,7 +106,7 @@
 
 class Credit(Struct, array_like=True):
     """
-    The receiver has handed on all tokens below the offset.
+    Flow-control credit: the receiver has forwarded all tokens below the offset.
     """
 
     attempt: str
@@ -115,7 +115,7 @@
 
 class EngineFound(Struct, array_like=True):
     """
-    An engine that the process beside it announces itself.
+    Announcement of an engine by the process beside it.
     """
 
     name: Annotated[str, Meta(description="The engine's name for this start of it.")]
@@ -132,7 +132,7 @@
 
 class EngineReport(Struct, array_like=True):
     """
-    An engine's own report, told by the process beside it to every entry.
+    An engine's load report, which the process beside it sends to every entry.
     """
 
     running: Annotated[int, Meta(ge=0)]
@@ -190,7 +190,7 @@
 
 class EngineRoom(Struct, array_like=True):
     """
-    An engine with the memory that is free there.
+    An engine and its free memory.
     """
 
     address: Annotated[str, Meta(description='host:port')]
@@ -209,7 +209,7 @@
 
 class Fetch(Struct, array_like=True):
     """
-    Asks for the answer of an attempt claimed earlier under an idempotency key.
+    Requests the answer of an earlier attempt that claimed the same idempotency key.
     """
 
     attempt: str
@@ -244,7 +244,7 @@
 
 class LimitTold(Struct, array_like=True):
     """
-    What a back end said of its limit, and calls that the sender sent it.
+    The rate limit that a back end stated, and the calls that the sender made to it.
     """
 
     endpoint: Annotated[str, Meta(description="The back end's name.")]
@@ -277,7 +277,7 @@
 
 class Load(Struct, array_like=True):
     """
-    An endpoint's load as it last knew it.
+    Latest known load of an endpoint.
     """
 
     running: Annotated[int, Meta(ge=0)]
@@ -329,7 +329,7 @@
 
 class PairsAsk(Struct, array_like=True):
     """
-    An entry that the key-value service does not answer asks the others what they read there.
+    Asks other entries for changes of the key-value service when it does not answer the sender.
     """
 
     asker: Annotated[str, Meta(description='Name of the process that asks.')]
@@ -344,7 +344,7 @@
 
 class PairsTold(Struct, array_like=True):
     """
-    What changed in the key-value service, as one entry read it.
+    Changes of the key-value service, as one entry read them.
     """
 
     asker: Annotated[
@@ -388,7 +388,7 @@
 
 class Reply(Struct, array_like=True):
     """
-    A plain service's whole answer.
+    The complete answer of a plain service.
     """
 
     attempt: str
@@ -407,7 +407,7 @@
 
 class RoomAsk(Struct, array_like=True):
     """
-    Asks an entry which engines can take generations in.
+    Asks an entry which engines have free memory for moved generations.
     """
 
     service: str
@@ -415,7 +415,7 @@
 
 class RoomTold(Struct, array_like=True):
     """
-    Answers RoomAsk.
+    Answer to RoomAsk.
     """
 
     engines: list[EngineRoom]
@@ -423,7 +423,7 @@
 
 class RunMoved(Struct, array_like=True):
     """
-    A generation was stopped, and goes on from a copy.
+    A generation was stopped and continues from a copy of its KV cache.
     """
 
     attempt: Annotated[str, Meta(description="The caller's name for the attempt.")]
@@ -461,7 +461,7 @@
 
 class SettingsRecord(Struct, array_like=True):
     """
-    One team's subtree at one revision; a null document is a deletion.
+    A team's settings at one revision; an empty document marks a deletion.
     """
 
     team: str
@@ -476,7 +476,7 @@
 
 class StoredPair(Struct, array_like=True):
     """
-    A key as it was written, or its deletion.
+    A key with its stored value, or its deletion.
     """
 
     key: str
@@ -543,5 +543,5 @@
 
 class Wire(Struct):
     """
-    Messages between an entry and an endpoint process.
+    Messages between the processes of the system.
     """
