--- a/demo/tasks.py
+++ b/demo/tasks.py
@@ -1,4 +1,8 @@
-"""Sends each kind of work once and checks what came back."""
+"""Sends one request of each kind, and one reorder twice, and checks them.
+
+Arguments: the base URLs of both entries, the organisation's key, and the base
+URL of the plain service, whose history of calls is read.
+"""
 
 import asyncio
 import json
@@ -35,28 +39,30 @@
 )
 
 
-async def _send_all(one: str, two: str, key: str) -> list[CallerAnswer]:
+async def _send_all(
+    first_url: str, second_url: str, key: str
+) -> list[CallerAnswer]:
     async with aiohttp.ClientSession() as session:
-        both = Caller(session, CallerSettings((one, two), key))
-        other = Caller(session, CallerSettings((two, one), key))
+        caller = Caller(session, CallerSettings((first_url, second_url), key))
+        other = Caller(session, CallerSettings((second_url, first_url), key))
         return await asyncio.gather(
-            *(both.send(task) for task in TASKS),
-            both.send(REORDER),
+            *(caller.send(task) for task in TASKS),
+            caller.send(REORDER),
             other.send(REORDER),
         )
 
 
 def _show(task: Task, answer: CallerAnswer) -> None:
-    shown = answer.body[:90] or ' '.join(answer.tokens[:4]) + ' ...'
+    excerpt = answer.body[:90] or ' '.join(answer.tokens[:4]) + ' ...'
     sys.stdout.write(
         f'task={task.name} status={answer.status} tokens={len(answer.tokens)} '
         f'attempts={answer.attempts} error={answer.error or "-"} '
-        f'answer="{shown}"\n'
+        f'answer="{excerpt}"\n'
     )
 
 
-def _read_runs(service: str) -> list[RunRecord]:
-    with urllib.request.urlopen(f'{service}/history') as response:
+def _read_runs(service_url: str) -> list[RunRecord]:
+    with urllib.request.urlopen(f'{service_url}/history') as response:
         runs = json.load(response)['runs']
     return [
         RunRecord(run['attempt'], 'reorders-1', 'abertawe', run['at'], 'key')
@@ -65,9 +71,9 @@
     ]
 
 
-def main(one: str, two: str, key: str, service: str) -> None:
-    """Send the tasks; exit with 1 when something is not as promised."""
-    answers = asyncio.run(_send_all(one, two, key))
+def main(first_url: str, second_url: str, key: str, service_url: str) -> None:
+    """Send the tasks; exit with 1 when an invariant is violated."""
+    answers = asyncio.run(_send_all(first_url, second_url, key))
     sent = [*TASKS, REORDER, REORDER]
     for task, answer in zip(sent, answers, strict=True):
         _show(task, answer)
@@ -80,14 +86,14 @@
         )
         for number, (task, answer) in enumerate(zip(sent, answers, strict=True))
     ]
-    breaches = check_history(History(records, _read_runs(service)))
+    breaches = check_history(History(records, _read_runs(service_url)))
     breaches += [
         f'{task.name}: {answer.error}'
         for task, answer in zip(sent, answers, strict=True)
         if not answer.complete or len(answer.tokens) != task.length
     ]
     if answers[-1].body != answers[-2].body:
-        breaches.append('the reorder was answered in two ways')
+        breaches.append('the two calls of the reorder got different answers')
     for breach in breaches:
         sys.stdout.write(f'breach="{breach}"\n')
     sys.exit(1 if breaches else 0)
--- a/demo/wait.py
+++ b/demo/wait.py
@@ -1,4 +1,7 @@
-"""Waits until the entries given may send new work to all endpoints."""
+"""Waits until each of the given entries can send new work to all endpoints.
+
+Arguments: the base URLs of the entries' administration.
+"""
 
 import json
 import os
@@ -6,8 +9,8 @@
 import time
 import urllib.request
 
-_ENDPOINTS = 4
-_SECONDS = 20
+_ENDPOINT_COUNT = 4
+_TIMEOUT_SECONDS = 20
 
 
 def _count_usable(url: str) -> int:
@@ -17,12 +20,12 @@
     )
     with urllib.request.urlopen(request, timeout=2) as response:
         endpoints = json.load(response)['endpoints']
-    return sum(not each['veto'] for each in endpoints)
+    return sum(not endpoint['veto'] for endpoint in endpoints)
 
 
-until = time.monotonic() + _SECONDS
+deadline = time.monotonic() + _TIMEOUT_SECONDS
 for url in sys.argv[1:]:
-    while _count_usable(url) < _ENDPOINTS:
-        if time.monotonic() > until:
-            sys.exit(f'{url}: not all endpoints came')
+    while _count_usable(url) < _ENDPOINT_COUNT:
+        if time.monotonic() > deadline:
+            sys.exit(f'{url}: not all endpoints became usable in time')
         time.sleep(0.05)
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,4 +1,4 @@
-"""Tests; log lines are switched off here and on again by processes."""
+"""Tests; logging is disabled here, and enabled again in started processes."""
 
 from loguru import logger
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file, its templates and its pinned libraries."""
+"""Tests of the deploy file, its settings templates and pinned libraries."""
 
 import json
 import re
@@ -37,51 +37,53 @@
 }
 
 
-def fill(template, fields):
-    """Fill a template in as the platform does."""
+def fill_template(template, fields):
+    """Replace a template's placeholders by field values, as the platform does."""
 
-    def replace(found):
+    def replace(match):
         value = fields
-        for name in found[1].split('.'):
+        for name in match[1].split('.'):
             value = value[int(name) if name.isdigit() else name]
-        return json.dumps(value) if found[2] else str(value)
+        return json.dumps(value) if match[2] else str(value)
 
     return _PLACEHOLDER.sub(replace, template)
 
 
 class DeployTest(unittest.TestCase):
-    """What the platform builds and starts."""
+    """The files from which the platform builds and starts the system."""
 
-    def load(self, role, fields):
+    def load_settings(self, role, fields):
         template = (_ROOT / 'deploy' / f'{role}.json').read_text()
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder) / 'node.json'
-            file.write_text(fill(template, fields))
+            file.write_text(fill_template(template, fields))
             return load_node_settings(str(file), role)
 
-    def test_templates_give_settings(self):
-        entry = self.load('entry', _FIELDS)
+    def test_templates_give_valid_settings(self):
+        entry = self.load_settings('entry', _FIELDS)
         self.assertEqual('10.1.0.19:8740', entry.entry.callers)
         self.assertEqual(
             (7200, 8), (entry.link_port, entry.limits.stop_seconds)
         )
-        endpoint = self.load('endpoint', _FIELDS)
+        endpoint = self.load_settings('endpoint', _FIELDS)
         self.assertEqual('10.1.0.21:8745', endpoint.endpoint.engine)
         self.assertEqual(2, len(endpoint.seeds))
 
     def test_field_of_another_type_is_refused(self):
         with self.assertRaises(SettingsInvalidError) as caught:
-            self.load('entry', {**_FIELDS, 'ip': 5})
+            self.load_settings('entry', {**_FIELDS, 'ip': 5})
         self.assertIn('/host: ', str(caught.exception))
 
-    def test_roles_name_files_that_are_there(self):
+    def test_templates_of_all_roles_exist(self):
         deploy = tomllib.loads((_ROOT / 'deploy' / 'system.toml').read_text())
         for role in deploy['roles'].values():
             self.assertTrue((_ROOT / role['template']).is_file())
 
-    def test_pins_are_those_of_the_project(self):
-        """The platform would run other versions than the tests do."""
+    def test_pinned_versions_match_the_project(self):
+        """With other versions the platform would run what the tests did not."""
         project = tomllib.loads((_ROOT / 'pyproject.toml').read_text())
         pinned = set(project['project']['dependencies'])
-        lines = (_ROOT / 'deploy' / 'requirements.txt').read_text().split()
-        self.assertLessEqual(set(lines), pinned)
+        requirements = (
+            (_ROOT / 'deploy' / 'requirements.txt').read_text().split()
+        )
+        self.assertLessEqual(set(requirements), pinned)
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools for working on the project."""
+"""Development tools of the project."""
--- a/tools/run_tutorial.sh
+++ b/tools/run_tutorial.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs the commands of docs/TUTORIAL.md in order and checks what they show.
+# Runs the commands of docs/TUTORIAL.md in order and checks their output.
 set -eu
 cd "$(dirname "$0")/.."
 rm -rf out/tutorial
@@ -10,7 +10,7 @@
   cat out/tutorial.log
   exit 1
 }
-for words in '"holds_settings": true' 'max_running' '"finish_reason":"stop"' 'data: \[DONE\]' domain_out; do
-  grep -q -- "$words" out/tutorial.log || { echo "the tutorial did not show: $words"; cat out/tutorial.log; exit 1; }
+for pattern in '"holds_settings": true' 'max_running' '"finish_reason":"stop"' 'data: \[DONE\]' domain_out; do
+  grep -q -- "$pattern" out/tutorial.log || { echo "the tutorial did not show: $pattern"; cat out/tutorial.log; exit 1; }
 done
 echo 'the tutorial runs'
