--- a/tests/processes/restarts/__init__.py
+++ b/tests/processes/restarts/__init__.py
@@ -1,1 +1,1 @@
-"""A platform whose entries are restarted under load, and its judges."""
+"""Restarts of entries under load: components, load, history and checker."""
--- a/tests/processes/restarts/history.py
+++ b/tests/processes/restarts/history.py
@@ -1,4 +1,4 @@
-"""What callers, back ends and the operator saw of a run."""
+"""Records what callers, back ends and the operator observe in a run."""
 
 import io
 import re
@@ -8,68 +8,85 @@
 from enum import StrEnum
 from http.client import HTTPException, HTTPResponse
 
-ATTEMPT = 'Primrosewood-Attempt-Id'
-SEAL = 'Primrosewood-Response-Seal'
+ATTEMPT_HEADER = 'Primrosewood-Attempt-Id'
+SEAL_HEADER = 'Primrosewood-Response-Seal'
 STOP_SECONDS = 8
-# The balancer has noticed a stop, whatever the phase of its questions.
-NOTICED_SECONDS = 3
-LIMIT = 'Server-Limit'
+# By then the balancer has taken a stopping entry out, whatever the phase of
+# its health checks.
+BALANCER_REACTION_SECONDS = 3
+LIMIT_HEADER = 'Server-Limit'
 
 _EVENT = re.compile(rb'id: (\d+)\ndata: (\S+)\n\n')
 
 
-class End(StrEnum):
-    """How a call ended for its caller."""
+class Outcome(StrEnum):
+    """How an attempt ended for its caller."""
 
-    whole = 'answered whole'
-    unread = 'closed before it was read'
-    cut = 'closed after it was read, or within its answer'
-    silent = 'no answer'
+    complete = 'answered completely'
+    unread = 'closed before the request was read'
+    cut = 'closed after the request was read, or within the answer'
+    timed_out = 'no answer before the timeout'
 
 
 @dataclass(eq=False)
-class Life:
-    """An entry's process from start to end; times are monotonic seconds.
+class EntryLifetime:
+    """One process of an entry from start to exit; times are monotonic seconds.
 
     Attributes
     ----------
-    queued
-        Seconds of its stop in which it waited for a processor: the witness of
-        a machine that is too busy.
+    first_ready_at, last_ready_at
+        When the first and the last health check that found it ready were sent.
+    sigterm_at
+        When it was asked to stop.
+    cpu_wait_seconds
+        Time within its stop that it was runnable and waited for a processor;
+        shows whether the machine was overloaded.
     """
 
-    entry: str
-    ready_at: float | None = None
-    last_ready: float = 0
-    stopped_at: float | None = None
-    ended_at: float | None = None
-    code: int | None = None
-    queued: float = 0
+    entry_name: str
+    first_ready_at: float | None = None
+    last_ready_at: float = 0
+    sigterm_at: float | None = None
+    exited_at: float | None = None
+    exit_code: int | None = None
+    cpu_wait_seconds: float = 0
 
-    def since_stop(self, moment):
-        """Return the seconds from SIGTERM to a moment, below 0 before it."""
-        stopped = float('inf') if self.stopped_at is None else self.stopped_at
-        return moment - stopped
+    def seconds_after_stop(self, timestamp):
+        """Return the seconds from SIGTERM to a time, negative before it."""
+        sigterm = float('inf') if self.sigterm_at is None else self.sigterm_at
+        return timestamp - sigterm
 
 
 @dataclass(frozen=True)
-class Work:
-    """What a caller wants; ``size`` is in events, or in milliseconds."""
+class RequestSpec:
+    """A caller's request.
+
+    Attributes
+    ----------
+    request_id
+        Shared by all attempts at the request.
+    kind
+        ``stream``, ``read`` or ``write``; the first segment of the path.
+    size
+        Events of a stream; else milliseconds until the back end answers.
+    headers
+        Further header lines.
+    """
 
-    task: str
+    request_id: str
     kind: str
     size: int
     method: str = 'POST'
     headers: tuple[str, ...] = ()
 
-    def encode(self, name):
-        """Return the bytes of one try."""
-        body = self.task if self.method == 'POST' else ''
+    def encode(self, attempt_id):
+        """Return the HTTP/1.1 request of one attempt."""
+        body = self.request_id if self.method == 'POST' else ''
         lines = [
             f'{self.method} /{self.kind}/{self.size} HTTP/1.1',
             'Host: h.example',
             'Authorization: Bearer key-1',
-            f'{ATTEMPT}: {name}',
+            f'{ATTEMPT_HEADER}: {attempt_id}',
             f'Content-Length: {len(body)}',
             *self.headers,
         ]
@@ -77,137 +94,165 @@
 
 
 @dataclass
-class Call:
-    """One try of a caller, and what it saw."""
-
-    name: str
-    work: Work
-    life: Life
-    sent: float = 0
-    ended: float = 0
-    end: End = End.silent
+class Attempt:
+    """One attempt of a caller at a request, and what the caller received.
+
+    Attributes
+    ----------
+    lifetime
+        The entry's process that the connection was opened to.
+    reused
+        Whether the connection had carried an attempt before.
+    """
+
+    attempt_id: str
+    request: RequestSpec
+    lifetime: EntryLifetime
+    sent_at: float = 0
+    ended_at: float = 0
+    outcome: Outcome = Outcome.timed_out
     received: bytes = b''
     status: int = 0
     headers: dict = field(default_factory=dict)
     body: bytes = b''
-    kept: bool = False
+    reused: bool = False
 
     @property
     def events(self):
-        """Numbers and texts of the events that came."""
+        """Numbers and texts of the events received."""
         return [
             (int(number), text.decode())
             for number, text in _EVENT.findall(self.received)
         ]
 
     @property
-    def sent_late(self):
-        """Seconds from its entry's SIGTERM to its last byte."""
-        return self.life.since_stop(self.sent)
+    def sent_after_stop(self):
+        """Seconds from its entry's SIGTERM to the last byte of the request."""
+        return self.lifetime.seconds_after_stop(self.sent_at)
 
-    def finish(self, received, end):
-        """Note the end; an answer must follow HTTP to its last byte."""
-        self.ended = time.monotonic()
+    def record_outcome(self, received, outcome):
+        """Record the end; a complete answer must be valid HTTP throughout."""
+        self.ended_at = time.monotonic()
         self.received = bytes(received)
-        self.end = end
-        if end == End.whole:
-            replay = _Replay(self.received)
-            response = HTTPResponse(replay, method=self.work.method)
+        self.outcome = outcome
+        if outcome == Outcome.complete:
+            replay = _ReplaySocket(self.received)
+            response = HTTPResponse(replay, method=self.request.method)
             try:
                 response.begin()
                 self.body = response.read()
             except HTTPException:
-                self.end = End.cut
+                self.outcome = Outcome.cut
             self.status = response.status
             self.headers = dict(response.headers)
             self.body += replay.read()
 
 
-class _Replay(io.BytesIO):
-    """Received bytes in the place of a socket."""
+class _ReplaySocket(io.BytesIO):
+    """Gives received bytes to ``HTTPResponse`` as if from a socket."""
 
     def makefile(self, _mode):
         return self
 
     def close(self):
-        """Stay open: what follows an answer is read as well."""
+        """Stay open, so that bytes after the answer can be read too."""
 
 
 @dataclass
-class Run:
-    """A call that a back end began to work on."""
+class BackendRun:
+    """An attempt that a back end started to process."""
 
-    name: str
+    attempt_id: str
     backend: str
-    began: float
-    ended: float | None = None
+    started_at: float
+    ended_at: float | None = None
 
 
 @dataclass(frozen=True)
-class Named:
-    """Calls a second that a back end takes from all entries together."""
+class AnnouncedLimit:
+    """Calls per second that a back end accepts from all entries together.
+
+    Attributes
+    ----------
+    first_seen_at
+        When the back end first announced it in an answer.
+    """
 
     rate: float
-    first_at: float
+    first_seen_at: float
 
 
 @dataclass
 class History:
-    """All that was seen from outside.
+    """All that was observed from outside the entries.
 
     Attributes
     ----------
+    max_loop_lag
+        Longest delay, in seconds, of the event loop of callers and back ends.
     limits
-        What back ends named, by their names.
-    lag
-        Longest time for which callers and back ends stood still.
+        Announced limits by the names of back ends.
+    runs
+        Runs by attempt id.
     """
 
-    lag: float = 0
-    lives: list[Life] = field(default_factory=list)
-    calls: list[Call] = field(default_factory=list)
-    limits: dict[str, Named] = field(default_factory=dict)
-    runs: dict[str, list[Run]] = field(
+    max_loop_lag: float = 0
+    lifetimes: list[EntryLifetime] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
+    limits: dict[str, AnnouncedLimit] = field(default_factory=dict)
+    runs: dict[str, list[BackendRun]] = field(
         default_factory=lambda: defaultdict(list)
     )
 
-    def runs_of(self, call):
-        """Return the runs of a call."""
-        return self.runs.get(call.name, [])
+    def runs_of(self, attempt):
+        """Return the runs of an attempt."""
+        return self.runs.get(attempt.attempt_id, [])
 
-    def begun_at(self, backend):
-        """Return when a back end's runs began, in order."""
+    def run_starts(self, backend):
+        """Return when a back end's runs started, in order."""
         return sorted(
-            run.began
+            run.started_at
             for runs in self.runs.values()
             for run in runs
             if run.backend == backend
         )
 
     def summarize(self):
-        """Return how the stops and calls ended, calls late in a stop apart.
+        """Return one line with the stops and the counts of outcomes.
 
-        After each stop stands how long it waited for a processor.
+        Each stop's duration is followed by its wait for a processor. Attempts
+        that were sent late in a stop are counted apart.
         """
-        ends = Counter()
-        for call in self.calls:
-            late = 'late ' if call.sent_late > NOTICED_SECONDS else ''
-            kept = 'kept ' if call.kept else ''
-            end = call.status if call.end == End.whole else call.end.name
-            ends[f'{late}{kept}{call.work.kind} {end}'] += 1
+        counts = Counter()
+        for attempt in self.attempts:
+            late = (
+                'late '
+                if attempt.sent_after_stop > BALANCER_REACTION_SECONDS
+                else ''
+            )
+            reused = 'reused ' if attempt.reused else ''
+            outcome = (
+                attempt.status
+                if attempt.outcome == Outcome.complete
+                else attempt.outcome.name
+            )
+            counts[f'{late}{reused}{attempt.request.kind} {outcome}'] += 1
         stops = ' '.join(
-            f'{life.since_stop(life.ended_at):.2f}({life.queued:.2f})'
-            for life in self.lives
+            f'{lifetime.seconds_after_stop(lifetime.exited_at):.2f}'
+            f'({lifetime.cpu_wait_seconds:.2f})'
+            for lifetime in self.lifetimes
+        )
+        text = ', '.join(
+            f'{label}: {counts[label]}' for label in sorted(counts)
         )
-        text = ', '.join(f'{end}: {ends[end]}' for end in sorted(ends))
-        return f'stops of {stops} s; lag {self.lag:.2f} s; {text}'
+        return f'stops of {stops} s; lag {self.max_loop_lag:.2f} s; {text}'
 
-    def most_stopping(self):
-        """Return how many entries were stopping at the same moment."""
+    def max_concurrent_stops(self):
+        """Return the largest number of entries stopping at the same time."""
         return max(
             sum(
-                each.stopped_at <= life.stopped_at < each.ended_at
-                for each in self.lives
+                other.sigterm_at <= lifetime.sigterm_at < other.exited_at
+                for other in self.lifetimes
             )
-            for life in self.lives
+            for lifetime in self.lifetimes
         )
