--- a/tests/processes/callers.py
+++ b/tests/processes/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the tests: they record all that they receive."""
+"""HTTP callers for tests; they record everything they receive."""
 
 import json
 from dataclasses import dataclass, field
@@ -7,8 +7,23 @@
 
 
 @dataclass
-class Answer:
-    """What a caller received."""
+class RecordedAnswer:
+    """What a caller received for one request.
+
+    Attributes
+    ----------
+    text
+        Text of the completion, or the body of a plain service's answer.
+    chunks
+        Texts of the events of a stream.
+    event_id
+        Last event id, to resume the stream with.
+    done
+        Whether the answer is complete.
+    error
+        The error object of the answer; for a broken connection, an object
+        with a ``type`` that begins with ``cut``.
+    """
 
     status: int = 0
     text: str = ''
@@ -22,12 +37,12 @@
 
     @property
     def tokens(self) -> list[str]:
-        """Tokens in the order they came."""
+        """Tokens in the order of arrival."""
         return self.text.split()
 
     @property
-    def kind(self) -> str:
-        """Error kind, empty for none."""
+    def error_kind(self) -> str:
+        """Kind of the error, empty if there is none."""
         return self.error.get('type', '')
 
 
@@ -42,8 +57,19 @@
     timeout: str = '',
     prompt: str = 'Draft a batch certificate',
     on_chunk=None,
-) -> Answer:
-    """Ask for a completion of a length and record the answer."""
+) -> RecordedAnswer:
+    """Request a completion and record the answer.
+
+    Parameters
+    ----------
+    length
+        Tokens that the stand-in engine generates.
+    timeout
+        Value of ``X-Request-Timeout``, not sent if empty.
+    on_chunk
+        Coroutine function that is called with the answer so far after each
+        event; the next event is read when it returns.
+    """
     headers = {'Authorization': f'Bearer {key}'}
     if last_event_id:
         headers['Last-Event-ID'] = last_event_id
@@ -57,14 +83,14 @@
         'max_tokens': length + 10,
         'stream': stream,
     }
-    answer = Answer()
+    answer = RecordedAnswer()
     try:
         async with http.post(
             f'{url}/v1/completions', json=body, headers=headers
         ) as response:
             answer.status = response.status
             answer.headers = dict(response.headers)
-            await _read(response, answer, on_chunk)
+            await _read_answer(response, answer, on_chunk)
     except aiohttp.ClientError as error:
         answer.error = {'type': f'cut: {type(error).__name__}'}
     return answer
@@ -79,14 +105,14 @@
     key: str = 'key-gwenallt',
     idempotency_key: str = '',
     timeout: str = '',
-) -> Answer:
-    """Call a plain service and record the answer."""
+) -> RecordedAnswer:
+    """Send a request to a plain service and record the answer."""
     headers = {'Authorization': f'Bearer {key}'}
     if idempotency_key:
         headers['Idempotency-Key'] = idempotency_key
     if timeout:
         headers['X-Request-Timeout'] = timeout
-    answer = Answer()
+    answer = RecordedAnswer()
     try:
         async with http.request(
             method, f'{url}/services/{path}', json=body, headers=headers
@@ -101,10 +127,10 @@
     return answer
 
 
-async def _read(response, answer: Answer, on_chunk) -> None:
+async def _read_answer(response, answer: RecordedAnswer, on_chunk) -> None:
     if response.content_type == 'text/event-stream':
         async for line in response.content:
-            _take_line(line.strip(), answer)
+            _parse_line(line.strip(), answer)
             if on_chunk is not None and line.startswith(b'data:'):
                 await on_chunk(answer)
         return
@@ -117,7 +143,7 @@
         answer.done = True
 
 
-def _take_line(line: bytes, answer: Answer) -> None:
+def _parse_line(line: bytes, answer: RecordedAnswer) -> None:
     if line.startswith(b'id: '):
         answer.event_id = line[4:].decode()
     elif line == b'data: [DONE]':
--- a/tests/processes/harness.py
+++ b/tests/processes/harness.py
@@ -1,4 +1,4 @@
-"""Starts a small system on loopback: every part its own process."""
+"""Starts a small cluster on loopback, each part in a process of its own."""
 
 import asyncio
 import itertools
@@ -36,37 +36,37 @@
     'orphan_seconds': 3.0,
     'drain_seconds': 0.2,
 }
-_START_SECONDS = 30
+_START_TIMEOUT_SECONDS = 30
 _FIRST_PORT = 12_000
 _LAST_PORT = 30_000
-_BLOCK = 1000
+_PORTS_PER_BLOCK = 1000
 _ROOT = Path(__file__).resolve().parents[2]
 
 
-def _take_block() -> tuple[socket.socket, Iterator[int]]:
-    """Return the ports of a block that no other run of the tests uses.
+def _reserve_port_block() -> tuple[socket.socket, Iterator[int]]:
+    """Reserve a block of ports against other runs of the tests.
 
-    The block's first port stays bound for as long as this process runs.
-    Without it two runs side by side found the same ports free and then took
-    them from each other. The blocks lie below the range from which the kernel
-    takes ports for connections.
+    Return the socket that holds the reservation and the ports of the block.
+    The socket stays bound to the block's first port until this process exits.
+    Without it, concurrent runs found the same ports free and then conflicted.
+    The blocks lie below the kernel's range of ephemeral ports.
     """
-    for first in range(_FIRST_PORT, _LAST_PORT, _BLOCK):
-        guard = socket.socket()
+    for first in range(_FIRST_PORT, _LAST_PORT, _PORTS_PER_BLOCK):
+        lock = socket.socket()
         try:
-            guard.bind(('127.0.0.1', first))
+            lock.bind(('127.0.0.1', first))
         except OSError:
-            guard.close()
+            lock.close()
             continue
-        return guard, itertools.cycle(range(first + 1, first + _BLOCK))
-    raise RuntimeError('every block of ports is taken')
+        return lock, itertools.cycle(range(first + 1, first + _PORTS_PER_BLOCK))
+    raise RuntimeError('all port blocks are in use by other test runs')
 
 
-_GUARD, _PORTS = _take_block()
+_BLOCK_LOCK, _PORTS = _reserve_port_block()
 
 
 def free_port() -> int:
-    """Return a port of this run's block that nobody listens on."""
+    """Return an unused port from the block of this run."""
     while True:
         port = next(_PORTS)
         with socket.socket() as probe:
@@ -79,20 +79,37 @@
 
 @dataclass
 class Part:
-    """One started process."""
+    """One process of the cluster, with the command that starts it.
+
+    Attributes
+    ----------
+    url
+        Address for callers, or of the metrics of an endpoint.
+    other_urls
+        Further addresses by their purpose.
+    """
 
     name: str
     command: list[str]
     url: str
     process: subprocess.Popen | None = None
-    extra: dict = field(default_factory=dict)
+    other_urls: dict = field(default_factory=dict)
 
 
 class Cluster:
-    """Platform, engines, plain service, endpoints and entries."""
+    """Stand-ins of the platform and of back ends, endpoints and entries.
+
+    Parameters
+    ----------
+    timing
+        Settings that replace some of ``FAST_TIMING``.
+    options
+        Further settings: ``service`` for the team's model service, ``claims``
+        and ``limits`` for all processes.
+    """
 
     def __init__(self, timing: dict | None = None, **options) -> None:
-        """Prepare; ``start`` opens."""
+        """Create the folder; ``start`` starts the processes."""
         self._temporary = tempfile.TemporaryDirectory(
             prefix='primrosewood-test-'
         )
@@ -102,13 +119,13 @@
         self.parts: dict[str, Part] = {}
         self.http: aiohttp.ClientSession | None = None
         self._log = (self.folder / 'log').open('ab')
-        self._kept_log: str | None = None
+        self._final_log: str | None = None
 
     @property
     def log_text(self) -> str:
-        """All log lines so far."""
-        if self._kept_log is not None:
-            return self._kept_log
+        """Log lines of all processes so far."""
+        if self._final_log is not None:
+            return self._final_log
         return (self.folder / 'log').read_text(encoding='utf-8')
 
     def url(self, name: str) -> str:
@@ -123,16 +140,16 @@
         engine_flags: tuple[str, ...] = (),
         service_flags: tuple[str, ...] = (),
     ) -> None:
-        """Start everything.
+        """Start the cluster and wait until it serves.
 
         Parameters
         ----------
         engines, services
-            Names with their failure domains.
+            Failure domains by the names of endpoints.
         entries
-            How many entries.
+            Number of entries.
         engine_flags, service_flags
-            Further flags of every stand-in of that kind.
+            Further command line flags of the stand-ins of that kind.
         """
         self.http = aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=60),
@@ -148,14 +165,16 @@
             self.start_endpoint(name, domain, 'reorders')
         for number in range(1, entries + 1):
             self.start_entry(f'entry-{number}', 'abertawe')
-        await self.wait_until(self._put_first_settings)
-        everyone = [*engines, *(services or {})]
-        await self.wait_usable(everyone)
-        await self.wait_answering(*(f'{name}-engine' for name in everyone))
+        await self.wait_until(self._put_initial_settings)
+        endpoint_names = [*engines, *(services or {})]
+        await self.wait_usable(endpoint_names)
+        await self.wait_reachable(
+            *(f'{name}-engine' for name in endpoint_names)
+        )
 
     def team_settings(self) -> dict:
         """Return the team's settings."""
-        shared = self.options.get('service', {})
+        overrides = self.options.get('service', {})
         certdesk = {'kind': 'model', 'model': 'cert-1', 'max_running': 32}
         return {
             'organisations': {
@@ -168,7 +187,7 @@
                     'first_token_seconds': 2.0,
                     'between_tokens_seconds': 0.2,
                     'start_running': 16,
-                    **shared,
+                    **overrides,
                 },
                 'reorders': {
                     'kind': 'plain',
@@ -179,7 +198,7 @@
         }
 
     def start_standin(self, name: str, module: str, *flags: str) -> None:
-        """Start a stand-in."""
+        """Start a stand-in, a module of the package ``standins``."""
         port = free_port()
         command = [sys.executable, '-m', f'standins.{module}']
         self._launch(
@@ -187,50 +206,52 @@
         )
 
     def start_endpoint(self, name: str, domain: str, service: str) -> None:
-        """Start an endpoint process beside the engine of its name."""
+        """Start an endpoint for the back end called ``{name}-engine``."""
         port = free_port()
-        metrics = free_port()
-        settings = self._settings(name, domain)
+        metrics_port = free_port()
+        settings = self._process_settings(name, domain)
         settings['endpoint'] = {
             'team': TEAM,
             'service': service,
             'links': {'port': port},
             'backend_url': self.url(f'{name}-engine'),
-            'metrics': {'port': metrics},
+            'metrics': {'port': metrics_port},
         }
-        self._launch(self._binary(name, 'endpoint', settings, _url(metrics)))
+        self._launch(
+            self._make_part(name, 'endpoint', settings, _url(metrics_port))
+        )
 
     def start_entry(self, name: str, domain: str) -> None:
         """Start an entry."""
-        callers = free_port()
-        administration = free_port()
-        settings = self._settings(name, domain)
+        caller_port = free_port()
+        administration_port = free_port()
+        settings = self._process_settings(name, domain)
         settings['vm_list_url'] = f'{self.url("platform")}/vms'
         settings['entry'] = {
             'links': {'port': free_port()},
-            'callers': {'port': callers},
-            'administration': {'port': administration},
+            'callers': {'port': caller_port},
+            'administration': {'port': administration_port},
         }
-        part = self._binary(name, 'entry', settings, _url(callers))
-        part.extra['administration'] = _url(administration)
+        part = self._make_part(name, 'entry', settings, _url(caller_port))
+        part.other_urls['administration'] = _url(administration_port)
         self._launch(part)
 
     def restart(self, name: str) -> None:
-        """Start a stopped part again, the same as before."""
+        """Start a part again, with the same command, after it has exited."""
         part = self.parts[name]
         part.process.wait()
         self._launch(part)
 
-    def kill(self, name: str, number: int = signal.SIGKILL) -> None:
-        """Send a signal to a part."""
-        self.parts[name].process.send_signal(number)
+    def kill(self, name: str, signum: int = signal.SIGKILL) -> None:
+        """Send a signal to a part, SIGKILL by default."""
+        self.parts[name].process.send_signal(signum)
 
-    def wait_ended(self, name: str, seconds: float = 30) -> int:
-        """Wait for a part's process to end and return its exit code."""
+    def wait_exit(self, name: str, seconds: float = 30) -> int:
+        """Wait for a part's process to exit and return its exit code."""
         return self.parts[name].process.wait(seconds)
 
     async def stop(self) -> None:
-        """End every process that was started."""
+        """Kill every process that was started, and delete the folder."""
         for part in self.parts.values():
             if part.process.poll() is None:
                 part.process.send_signal(signal.SIGCONT)
@@ -238,12 +259,12 @@
         for part in self.parts.values():
             part.process.wait()
         self._log.close()
-        self._kept_log = self.log_text
+        self._final_log = self.log_text
         self._temporary.cleanup()
         await self.http.close()
 
     async def put_settings(self, team: str, document: dict, path='') -> dict:
-        """Put settings through the first entry."""
+        """Write settings of a team through the first entry."""
         return await self.administer(
             'PUT', f'/settings/{team}/{path}', document
         )
@@ -251,10 +272,10 @@
     async def administer(
         self, method: str, path: str, body=None, entry: str = 'entry-1'
     ) -> dict:
-        """Call the administration API until its process is up."""
-        base = self.parts[entry].extra['administration']
+        """Call the administration API; retry while nothing listens there."""
+        base = self.parts[entry].other_urls['administration']
         headers = {'Authorization': f'Bearer {OPERATOR_KEY}'}
-        until = time.monotonic() + _START_SECONDS
+        deadline = time.monotonic() + _START_TIMEOUT_SECONDS
         while True:
             try:
                 async with self.http.request(
@@ -265,75 +286,92 @@
                         **(await response.json(content_type=None)),
                     }
             except aiohttp.ClientConnectorError:
-                if time.monotonic() > until:
+                if time.monotonic() > deadline:
                     raise
                 await asyncio.sleep(0.05)
 
     async def wait_usable(self, names, entry: str | None = None) -> None:
-        """Wait until entries may send new work to all endpoints named."""
-        entries = [entry] if entry else self._entries()
-        for each in entries:
-            await self.wait_until(partial(self._all_usable, names, each))
+        """Wait until all named endpoints are eligible for new work.
+
+        Parameters
+        ----------
+        entry
+            The only entry to ask; None for all entries.
+        """
+        entry_names = [entry] if entry else self._entry_names()
+        for entry_name in entry_names:
+            await self.wait_until(partial(self._all_usable, names, entry_name))
 
     async def vetoes(self, entry: str = 'entry-1') -> dict[str, str]:
-        """Return why each endpoint gets no new work, empty when it does."""
+        """Return each endpoint's veto of new work, empty if there is none."""
         status = await self.administer('GET', '/status', entry=entry)
-        return {each['name']: each['veto'] for each in status['endpoints']}
+        return {
+            endpoint['name']: endpoint['veto']
+            for endpoint in status['endpoints']
+        }
+
+    async def wait_until(
+        self, check, seconds: float = _START_TIMEOUT_SECONDS
+    ) -> float:
+        """Wait until a coroutine function returns true.
 
-    async def wait_until(self, check, seconds: float = _START_SECONDS) -> float:
-        """Wait for a coroutine function to return true; return how long."""
+        Return the seconds waited; after ``seconds`` raise AssertionError.
+        """
         started = time.monotonic()
         while not await check():
             if time.monotonic() - started > seconds:
-                raise AssertionError(f'not in {seconds} s\n{self.log_text}')
+                raise AssertionError(
+                    f'condition not met within {seconds} s\n{self.log_text}'
+                )
             await asyncio.sleep(0.02)
         return time.monotonic() - started
 
-    async def fault(self, name: str, **faults) -> None:
-        """Switch faults of a stand-in."""
+    async def set_faults(self, name: str, **faults) -> None:
+        """Switch faults of a stand-in on or off."""
         async with self.http.post(f'{self.url(name)}/faults', json=faults):
             return
 
-    async def history(self, name: str, path: str = 'history') -> dict:
-        """Return what a stand-in recorded."""
+    async def fetch_history(self, name: str, path: str = 'history') -> dict:
+        """Return records of a stand-in, by default those of its calls."""
         async with self.http.get(f'{self.url(name)}/{path}') as response:
             return await response.json()
 
-    async def counts(self) -> dict:
-        """Return the calls that the platform counted."""
-        return await self.history('platform', 'counts')
+    async def fetch_call_counts(self) -> dict:
+        """Return the platform's calls, counted by path."""
+        return await self.fetch_history('platform', 'counts')
 
-    async def set_vm(self, **states: str) -> None:
-        """Set states in the VM list."""
+    async def set_vm_states(self, **states: str) -> None:
+        """Set states of VMs in the platform's VM list."""
         async with self.http.post(f'{self.url("platform")}/vms', json=states):
             return
 
-    async def wait_answering(self, *names):
-        """Wait until back ends answer; endpoints are usable before that."""
+    async def wait_reachable(self, *names):
+        """Wait until back ends listen; endpoints may be usable earlier."""
 
-        async def answer():
+        async def are_reachable():
             try:
                 for name in names:
-                    await self.history(name)
+                    await self.fetch_history(name)
             except aiohttp.ClientConnectorError:
                 return False
             return True
 
-        await self.wait_until(answer)
+        await self.wait_until(are_reachable)
 
-    async def _put_first_settings(self) -> bool:
-        # The key-value service may start long after the entry.
-        accepted = await self.put_settings(TEAM, self.team_settings())
-        return accepted['status'] == HTTPStatus.OK
+    async def _put_initial_settings(self) -> bool:
+        # The key-value service may start long after the entry; until then the
+        # entry refuses settings.
+        answer = await self.put_settings(TEAM, self.team_settings())
+        return answer['status'] == HTTPStatus.OK
 
-    def _entries(self) -> list[str]:
+    def _entry_names(self) -> list[str]:
         return [name for name in self.parts if name.startswith('entry-')]
 
     async def _all_usable(self, names, entry: str) -> bool:
         vetoes = await self.vetoes(entry)
         return all(vetoes.get(name) == '' for name in names)
 
-    def _settings(self, name: str, domain: str) -> dict:
+    def _process_settings(self, name: str, domain: str) -> dict:
         return {
             'name': name,
             'failure_domain': domain,
@@ -347,7 +385,9 @@
             'limits': self.options.get('limits', {}),
         }
 
-    def _binary(self, name: str, role: str, settings: dict, url: str) -> Part:
+    def _make_part(
+        self, name: str, role: str, settings: dict, url: str
+    ) -> Part:
         file = self.folder / f'{name}.json'
         file.write_text(json.dumps(settings))
         code = f'from primrosewood.{role} import main; main()'
--- a/tests/processes/restarts/history.py
+++ b/tests/processes/restarts/history.py
@@ -52,7 +52,7 @@
     cpu_wait_seconds: float = 0
 
     def seconds_after_stop(self, timestamp):
-        """Return the seconds from SIGTERM to a time, negative before it."""
+        """Return the seconds from SIGTERM to a time, below 0 before it."""
         sigterm = float('inf') if self.sigterm_at is None else self.sigterm_at
         return timestamp - sigterm
 
--- a/tests/processes/test_commands.py
+++ b/tests/processes/test_commands.py
@@ -1,4 +1,4 @@
-"""The command lines: operators' and the load tool's."""
+"""The command line programs of operators and of the load tool."""
 
 import asyncio
 import json
@@ -9,7 +9,7 @@
 
 
 class CommandTest(unittest.IsolatedAsyncioTestCase):
-    """Commands against a small system."""
+    """Commands against a running cluster."""
 
     async def asyncSetUp(self):
         self.cluster = Cluster()
@@ -18,19 +18,19 @@
             {'e1': 'abertawe'}, services={'s1': 'abertawe'}
         )
         entry = self.cluster.parts['entry-1']
-        self.callers = entry.url
+        self.caller_url = entry.url
         self.environment = {
-            'PRIMROSEWOOD_URL': entry.extra['administration'],
+            'PRIMROSEWOOD_URL': entry.other_urls['administration'],
             'PRIMROSEWOOD_KEY': OPERATOR_KEY,
             'PATH': '/usr/bin:/bin',
         }
 
-    async def run_command(self, module, *words):
+    async def run_command(self, module, *arguments):
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             '-c',
             f'from primrosewood.{module} import main; main()',
-            *words,
+            *arguments,
             env=self.environment,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
@@ -38,8 +38,8 @@
         out, err = await process.communicate()
         return process.returncode, out.decode(), err.decode()
 
-    async def ctl(self, *words):
-        return await self.run_command('ctl', *words)
+    async def ctl(self, *arguments):
+        return await self.run_command('ctl', *arguments)
 
     async def test_put_get_diff_delete_history(self):
         path = 'services/certdesk/max_running'
@@ -63,9 +63,9 @@
         paths = [change['path'] for change in json.loads(out)]
         self.assertEqual(['', path, ''], paths)
 
-    async def test_refusals(self):
-        stale = ('put', 'cymru', 'services', '{}', '--revision=0')
-        code, _out, err = await self.ctl(*stale)
+    async def test_refused_commands(self):
+        outdated_put = ('put', 'cymru', 'services', '{}', '--revision=0')
+        code, _out, err = await self.ctl(*outdated_put)
         self.assertEqual(1, code)
         self.assertIn('conflict', err)
         file = self.cluster.folder / 'bad.json'
@@ -77,11 +77,11 @@
     async def test_status_and_domains(self):
         await self.ctl('domain_out', 'cymru', 'abertawe')
         _code, out, _err = await self.ctl('status')
-        vetoes = {each['veto'] for each in json.loads(out)['endpoints']}
+        vetoes = {endpoint['veto'] for endpoint in json.loads(out)['endpoints']}
         self.assertEqual({'domain_out'}, vetoes)
         await self.ctl('domain_in', 'cymru', 'abertawe')
         _code, out, _err = await self.ctl('status')
-        vetoes = {each['veto'] for each in json.loads(out)['endpoints']}
+        vetoes = {endpoint['veto'] for endpoint in json.loads(out)['endpoints']}
         self.assertEqual({''}, vetoes)
 
     async def test_load_tool(self):
@@ -89,7 +89,7 @@
         code, out, err = await self.run_command(
             'load',
             'run',
-            f'--urls={self.callers}',
+            f'--urls={self.caller_url}',
             '--key=key-gwenallt',
             '--workload=gwenallt',
             '--rate=8',
@@ -98,5 +98,5 @@
         )
         self.assertEqual(0, code, out + err)
         self.assertIn('faults=0', out)
-        code, again, _err = await self.run_command('load', 'report', str(file))
-        self.assertEqual((0, out), (code, again))
+        code, report, _err = await self.run_command('load', 'report', str(file))
+        self.assertEqual((0, out), (code, report))
--- a/tests/processes/test_endpoint_stop.py
+++ b/tests/processes/test_endpoint_stop.py
@@ -1,4 +1,4 @@
-"""What entries and callers get from an endpoint that is asked to stop."""
+"""Entries and callers get definite answers while an endpoint stops."""
 
 import asyncio
 import json
@@ -16,12 +16,12 @@
 from .callers import call_service, complete
 from .harness import TEAM, Cluster
 
-# One way between regions.
-_DISTANCE_SECONDS = 0.04
+# Network delay between regions, in one direction.
+_ONE_WAY_DELAY_SECONDS = 0.04
 
 
-class _Entry:
-    """An entry that is only a link to an endpoint."""
+class _EntryLink:
+    """An entry's side of a link to an endpoint, without the entry."""
 
     def __init__(self, socket):
         self._socket = socket
@@ -38,13 +38,14 @@
         return self._messages.pop(0)
 
     async def wait_leaving(self):
+        """Wait until the endpoint reports that it is leaving."""
         while True:
             load = getattr(await self.receive(), 'load', None)
             if load and load.leaving:
                 return
 
     async def wait_refusal(self):
-        """Return the kind of the next refusal, empty for a closed link."""
+        """Return the kind of the next refusal, empty if the link closes."""
         try:
             while True:
                 message = await self.receive()
@@ -55,7 +56,7 @@
 
 
 class _StopTest(unittest.IsolatedAsyncioTestCase):
-    """One engine and one plain service behind two entries."""
+    """A cluster of one engine, one plain service and two entries."""
 
     timing: dict = {}
 
@@ -65,28 +66,29 @@
         await self.cluster.start(
             {'e1': 'abertawe'}, entries=2, services={'s1': 'abertawe'}
         )
-        await self.cluster.wait_answering('e1-engine', 's1-engine')
-        self.entry = self.cluster.url('entry-1')
+        await self.cluster.wait_reachable('e1-engine', 's1-engine')
+        self.entry_url = self.cluster.url('entry-1')
 
     @asynccontextmanager
     async def link(self, endpoint):
+        """Connect to an endpoint and exchange greetings."""
         file = self.cluster.folder / f'{endpoint}.json'
-        listen = json.loads(file.read_text())['endpoint']['links']
+        address = json.loads(file.read_text())['endpoint']['links']
         async with connect(
-            f'ws://127.0.0.1:{listen["port"]}',
+            f'ws://127.0.0.1:{address["port"]}',
             compression=None,
             ping_interval=None,
         ) as socket:
-            entry = _Entry(socket)
-            await entry.send(
+            link = _EntryLink(socket)
+            await link.send(
                 wire.Hello(
                     process='entry-9',
                     incarnation='i-9',
                     key='process-key-of-the-tests',
                 )
             )
-            entry.incarnation = (await entry.receive()).incarnation
-            yield entry
+            link.incarnation = (await link.receive()).incarnation
+            yield link
 
     async def wait_logged(self, text):
         async def is_logged():
@@ -94,26 +96,26 @@
 
         await self.cluster.wait_until(is_logged)
 
-    async def assert_ended(self, name):
-        code = await asyncio.to_thread(self.cluster.wait_ended, name)
+    async def assert_exits_cleanly(self, name):
+        code = await asyncio.to_thread(self.cluster.wait_exit, name)
         self.assertEqual(0, code)
 
 
 class IdleEndpointTest(_StopTest):
-    """An endpoint that has nothing to do when it is asked to stop."""
+    """An endpoint without calls when it is asked to stop."""
 
-    async def test_offer_that_crosses_the_stop(self):
-        """An entry in another region offers a call to an endpoint.
+    async def test_offer_in_flight_at_the_stop(self):
+        """An offer that arrives during the stop is refused as leaving.
 
-        The endpoint is asked to stop; the offer was sent before the word of
-        it came, and finds the link closed. It never runs, but its caller gets
-        an unknown outcome and may not send a reorder again.
+        An entry in another region sends the offer before it learns of the
+        stop. With the link closed by then, the call would not run, but its
+        caller would get an unknown outcome and could not repeat a reorder.
         """
-        async with self.link('s1') as entry:
+        async with self.link('s1') as link:
             self.cluster.kill('s1', signal.SIGTERM)
-            await entry.wait_leaving()
-            await asyncio.sleep(2 * _DISTANCE_SECONDS)
-            await entry.send(
+            await link.wait_leaving()
+            await asyncio.sleep(2 * _ONE_WAY_DELAY_SECONDS)
+            await link.send(
                 wire.Offer(
                     request='r1',
                     attempt='a1',
@@ -126,43 +128,44 @@
                     path='/reorders',
                 )
             )
-            self.assertEqual('leaving', await entry.wait_refusal())
-        await self.assert_ended('s1')
+            self.assertEqual('leaving', await link.wait_refusal())
+        await self.assert_exits_cleanly('s1')
 
-    async def test_question_whose_offer_may_be_on_its_way(self):
-        """An entry asks what became of an attempt that was not offered yet.
+    async def test_fetch_ahead_of_its_offer(self):
+        """A pending fetch is answered before the endpoint stops.
 
-        The endpoint keeps the question for a moment and is asked to stop. It
-        closes the link with the question unanswered.
+        An entry asks for the answer of an attempt that was not offered yet.
+        The endpoint holds the fetch for a moment, as the offer may be in
+        flight. A stop that closes the link then would leave it unanswered.
         """
-        async with self.link('s1') as entry:
-            await entry.send(
+        async with self.link('s1') as link:
+            await link.send(
                 wire.Fetch(
                     attempt='c1',
                     claimed_attempt='a1',
-                    incarnation=entry.incarnation,
+                    incarnation=link.incarnation,
                     organisation=f'{TEAM}/gwenallt',
                 )
             )
             self.cluster.kill('s1', signal.SIGTERM)
-            self.assertEqual('never_offered', await entry.wait_refusal())
-        await self.assert_ended('s1')
+            self.assertEqual('never_offered', await link.wait_refusal())
+        await self.assert_exits_cleanly('s1')
 
 
 class BusyEndpointTest(_StopTest):
-    """An endpoint whose stream takes longer than its lease lasts."""
+    """An endpoint with a stream that takes longer than its lease."""
 
     timing = {'stop_seconds': 60.0}
 
-    async def test_stream_that_is_read_on_after_the_lease(self):
-        """An endpoint leaves with a stream, and its entry dies.
+    async def test_stream_is_resumed_after_the_lease_expired(self):
+        """A stream of a stopping endpoint can be resumed at a new entry.
 
-        The endpoint stops renewing its lease when it is asked to stop. The
-        entry that replaced another one knows nothing of it, and tells the
-        caller that the stream is gone, which runs all the while.
+        A stopping endpoint whose lease has expired is unknown to an entry
+        that started since. After the stream's entry died, the new one would
+        report the stream as lost, although it still runs.
         """
-        asked = asyncio.create_task(
-            complete(self.cluster.http, self.entry, 900)
+        completion = asyncio.create_task(
+            complete(self.cluster.http, self.entry_url, 900)
         )
         await self.wait_logged('event=admission')
         self.cluster.kill('e1', signal.SIGTERM)
@@ -172,7 +175,7 @@
         self.cluster.restart('entry-2')
         await self.cluster.wait_until(self.is_ready)
         self.cluster.kill('entry-1')
-        first = await asked
+        first = await completion
         rest = await complete(
             self.cluster.http,
             self.cluster.url('entry-2'),
@@ -181,7 +184,7 @@
         )
         self.assertTrue(rest.done, rest.error)
         self.assertEqual(900, len(first.tokens) + len(rest.tokens))
-        await self.assert_ended('e1')
+        await self.assert_exits_cleanly('e1')
 
     async def is_ready(self):
         try:
@@ -194,36 +197,40 @@
 
 
 class ShortStopTest(_StopTest):
-    """A stop that ends before the work does."""
+    """A stop that is too short for the requests that run."""
 
     timing = {'stop_seconds': 1.0}
 
-    async def test_work_that_outlives_the_stop(self):
-        """Requests run on when the time of a planned stop is over.
+    async def test_requests_that_outlive_the_stop(self):
+        """Requests still run when the time of a planned stop is over.
 
-        Their entry finds the endpoint again for a while, in vain, and tells
-        each caller what is known; none gets a closed connection.
+        Their entry looks for the endpoint for a while, then reports to each
+        caller what is known; no caller finds its connection closed.
         """
-        await self.cluster.fault('s1-engine', slow=8)
-        asked = [
-            complete(self.cluster.http, self.entry, 900),
-            complete(self.cluster.http, self.entry, 900, stream=False),
+        await self.cluster.set_faults('s1-engine', slow=8)
+        requests = [
+            complete(self.cluster.http, self.entry_url, 900),
+            complete(self.cluster.http, self.entry_url, 900, stream=False),
             call_service(
-                self.cluster.http, self.entry, 'POST', 'reorders/reorders', {}
+                self.cluster.http,
+                self.entry_url,
+                'POST',
+                'reorders/reorders',
+                {},
             ),
         ]
-        asked = [asyncio.create_task(each) for each in asked]
-        await self.cluster.wait_until(self.all_run)
+        requests = [asyncio.create_task(request) for request in requests]
+        await self.cluster.wait_until(self.have_all_started)
         self.cluster.kill('e1', signal.SIGTERM)
         self.cluster.kill('s1', signal.SIGTERM)
-        stream, whole, order = await asyncio.gather(*asked)
-        self.assertEqual('generation_lost', stream.kind)
-        self.assertEqual(502, whole.status)
-        self.assertEqual('generation_lost', whole.kind)
+        streamed, unstreamed, order = await asyncio.gather(*requests)
+        self.assertEqual('generation_lost', streamed.error_kind)
+        self.assertEqual(502, unstreamed.status)
+        self.assertEqual('generation_lost', unstreamed.error_kind)
         self.assertEqual(502, order.status)
-        self.assertEqual('outcome_unknown', order.kind)
+        self.assertEqual('outcome_unknown', order.error_kind)
 
-    async def all_run(self):
-        engine = await self.cluster.history('e1-engine')
-        service = await self.cluster.history('s1-engine')
+    async def have_all_started(self):
+        engine = await self.cluster.fetch_history('e1-engine')
+        service = await self.cluster.fetch_history('s1-engine')
         return len(engine['starts']) == 2 and len(service['runs']) == 1
--- a/tests/processes/test_entry_stop.py
+++ b/tests/processes/test_entry_stop.py
@@ -1,4 +1,4 @@
-"""What callers get that are with an entry when it is asked to stop."""
+"""Callers of an entry get complete or definite answers while it stops."""
 
 import asyncio
 import json
@@ -14,8 +14,8 @@
 from .harness import OPERATOR_KEY, Cluster
 
 _MEGABYTE = 1_000_000
-# More than the kernel takes for a reader that stands still.
-_LONG_BODY = 3 * _MEGABYTE
+# More than the kernel buffers for a receiver that does not read.
+_LONG_BODY_BYTES = 3 * _MEGABYTE
 
 
 class _StopTest(unittest.IsolatedAsyncioTestCase):
@@ -24,39 +24,39 @@
     timing: dict = {}
 
     async def asyncSetUp(self):
-        limits = {'body_bytes': 2 * _LONG_BODY}
+        limits = {'body_bytes': 2 * _LONG_BODY_BYTES}
         self.cluster = Cluster(self.timing, limits=limits)
         self.addAsyncCleanup(self.cluster.stop)
         await self.cluster.start(
             {'e1': 'abertawe'}, entries=2, services={'s1': 'abertawe'}
         )
-        await self.cluster.wait_answering('e1-engine', 's1-engine')
-        self.entry = self.cluster.url('entry-1')
+        await self.cluster.wait_reachable('e1-engine', 's1-engine')
+        self.entry_url = self.cluster.url('entry-1')
 
-    def complete(self, length, **options):
+    def start_completion(self, length, **options):
         return asyncio.create_task(
-            complete(self.cluster.http, self.entry, length, **options)
+            complete(self.cluster.http, self.entry_url, length, **options)
         )
 
-    def reorder(self, **options):
+    def start_reorder(self, **options):
         path = 'reorders/reorders'
         return asyncio.create_task(
             call_service(
-                self.cluster.http, self.entry, 'POST', path, {}, **options
+                self.cluster.http, self.entry_url, 'POST', path, {}, **options
             )
         )
 
     async def wait_running(self, count):
-        """Wait until so many requests have reached their back ends."""
+        """Wait until this many requests have reached their back ends."""
 
-        async def run():
-            engine = await self.cluster.history('e1-engine')
-            service = await self.cluster.history('s1-engine')
+        async def is_running():
+            engine = await self.cluster.fetch_history('e1-engine')
+            service = await self.cluster.fetch_history('s1-engine')
             return len(engine['starts']) + len(service['runs']) >= count
 
-        await self.cluster.wait_until(run)
+        await self.cluster.wait_until(is_running)
 
-    def stop(self):
+    def stop_entry(self):
         self.cluster.kill('entry-1', signal.SIGTERM)
 
     async def wait_logged(self, text):
@@ -65,84 +65,85 @@
 
         await self.cluster.wait_until(is_logged)
 
-    async def assert_ended(self):
-        code = await asyncio.to_thread(self.cluster.wait_ended, 'entry-1')
+    async def assert_exits_cleanly(self):
+        code = await asyncio.to_thread(self.cluster.wait_exit, 'entry-1')
         self.assertEqual(0, code)
 
-    def assert_whole(self, answer, length):
+    def assert_complete(self, answer, length):
         self.assertTrue(answer.done, answer.error)
         self.assertEqual(length, len(answer.tokens))
 
 
 class LongStopTest(_StopTest):
-    """A stop with time for all that is asked."""
+    """A stop that is long enough for all requests."""
 
     timing = {'drain_seconds': 1.0, 'stop_seconds': 20.0}
 
-    async def test_requests_from_before_the_stop(self):
-        """Requests of every kind run when their entry is asked to stop."""
-        await self.cluster.fault('s1-engine', slow=3)
-        asked = [
-            self.complete(200),
-            self.complete(200, stream=False),
-            self.reorder(),
+    async def test_requests_in_flight_at_the_stop(self):
+        """Requests of every kind that run at the stop are answered."""
+        await self.cluster.set_faults('s1-engine', slow=3)
+        requests = [
+            self.start_completion(200),
+            self.start_completion(200, stream=False),
+            self.start_reorder(),
         ]
         await self.wait_running(3)
-        self.stop()
-        stream, whole, order = await asyncio.gather(*asked)
-        self.assert_whole(stream, 200)
-        self.assert_whole(whole, 200)
+        self.stop_entry()
+        streamed, unstreamed, order = await asyncio.gather(*requests)
+        self.assert_complete(streamed, 200)
+        self.assert_complete(unstreamed, 200)
         self.assertEqual(201, order.status)
-        await self.assert_ended()
+        await self.assert_exits_cleanly()
 
-    async def test_requests_while_the_balancer_notices(self):
-        """Requests come after the signal, as the balancer still sends them."""
-        await self.cluster.fault('s1-engine', slow=3)
-        self.stop()
+    async def test_requests_before_the_balancer_reacts(self):
+        """Requests that the balancer still sends after SIGTERM are answered."""
+        await self.cluster.set_faults('s1-engine', slow=3)
+        self.stop_entry()
         await self.wait_logged('event=draining')
-        stream, whole, order = await asyncio.gather(
-            self.complete(200),
-            self.complete(200, stream=False),
-            self.reorder(),
+        streamed, unstreamed, order = await asyncio.gather(
+            self.start_completion(200),
+            self.start_completion(200, stream=False),
+            self.start_reorder(),
         )
-        self.assert_whole(stream, 200)
-        self.assert_whole(whole, 200)
+        self.assert_complete(streamed, 200)
+        self.assert_complete(unstreamed, 200)
         self.assertEqual(201, order.status)
-        await self.assert_ended()
+        await self.assert_exits_cleanly()
 
-    async def test_caller_that_keeps_its_connection(self):
-        """A caller sends its requests over one connection.
+    async def test_persistent_connection_is_closed(self):
+        """Answers of a stopping entry close the caller's connection.
 
-        Its entry is stopped and refuses them with a time to come back. The
-        connection stays open, so the caller comes back to the entry that
-        refuses, for as long as a stream of another caller holds that one up.
+        If it stayed open, the caller's retries would reach the same entry and
+        be refused for as long as another caller's stream delays the stop.
         """
-        holding = self.complete(600)
+        long_stream = self.start_completion(600)
         await self.wait_running(1)
-        one = aiohttp.TCPConnector(limit=1)
-        async with aiohttp.ClientSession(connector=one) as session:
-            before = await complete(session, self.entry, 5)
+        connector = aiohttp.TCPConnector(limit=1)
+        async with aiohttp.ClientSession(connector=connector) as session:
+            before = await complete(session, self.entry_url, 5)
             self.assertNotIn('Connection', before.headers)
-            self.stop()
+            self.stop_entry()
             await self.wait_logged('event=draining')
             for stream in (True, False):
-                during = await complete(session, self.entry, 5, stream=stream)
-                self.assert_whole(during, 5)
+                during = await complete(
+                    session, self.entry_url, 5, stream=stream
+                )
+                self.assert_complete(during, 5)
                 self.assertEqual('close', during.headers.get('Connection'))
             await asyncio.sleep(1.5)
-            after = await complete(session, self.entry, 5)
-        self.assertEqual((503, 'leaving'), (after.status, after.kind))
+            after = await complete(session, self.entry_url, 5)
+        self.assertEqual((503, 'leaving'), (after.status, after.error_kind))
         self.assertEqual('close', after.headers.get('Connection'))
-        self.assert_whole(await holding, 600)
-        await self.assert_ended()
+        self.assert_complete(await long_stream, 600)
+        await self.assert_exits_cleanly()
 
     async def test_slow_reader_of_a_long_answer(self):
-        """A caller reads a long answer slowly when its entry is stopped.
+        """A caller that reads slowly during the stop gets its whole answer.
 
-        The answer counts as handed on before it is written, so the entry ends
-        two seconds later and cuts it.
+        An entry that counts the request as answered before the answer is
+        written exits two seconds later and cuts it.
         """
-        order = json.dumps({'note': 'x' * _LONG_BODY}).encode()
+        order = json.dumps({'note': 'x' * _LONG_BODY_BYTES}).encode()
         reader, writer = await self.connect_slowly()
         self.addCleanup(writer.close)
         writer.write(
@@ -154,98 +155,101 @@
         head = await reader.readuntil(b'\r\n\r\n')
         self.assertIn(b' 201 ', head)
         length = int(head.lower().partition(b'content-length: ')[2].split()[0])
-        self.stop()
+        self.stop_entry()
         await self.wait_logged('event=draining')
         await asyncio.sleep(4)
         received = 0
         while part := await reader.read(_MEGABYTE):
             received += len(part)
         self.assertEqual(length, received)
-        await self.assert_ended()
+        await self.assert_exits_cleanly()
 
     async def connect_slowly(self):
         receiver = socket.socket()
         receiver.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         receiver.setblocking(False)
-        port = int(self.entry.rpartition(':')[2])
+        port = int(self.entry_url.rpartition(':')[2])
         loop = asyncio.get_running_loop()
         await loop.sock_connect(receiver, ('127.0.0.1', port))
         return await asyncio.open_connection(sock=receiver, limit=4096)
 
 
 class ShortStopTest(_StopTest):
-    """A stop that ends before the requests do."""
+    """A stop that is too short for the requests that run."""
 
     timing = {'drain_seconds': 0.2, 'stop_seconds': 1.0}
 
     async def test_requests_that_outlive_the_stop(self):
-        """Requests run on when the time of a planned stop is over.
+        """Requests that still run at the end of the stop get an answer.
 
-        The entry closes their connections without a word: their callers hear
-        neither that they may have run nor when to come back.
+        If the entry just closed their connections, callers would learn neither
+        that the requests may have run nor when to retry.
         """
-        await self.cluster.fault('s1-engine', slow=8)
-        asked = [self.complete(900, stream=False), self.reorder()]
+        await self.cluster.set_faults('s1-engine', slow=8)
+        requests = [
+            self.start_completion(900, stream=False),
+            self.start_reorder(),
+        ]
         await self.wait_running(2)
-        self.stop()
-        for answer in await asyncio.gather(*asked):
+        self.stop_entry()
+        for answer in await asyncio.gather(*requests):
             self.assertEqual(502, answer.status)
-            self.assertEqual('outcome_unknown', answer.kind)
+            self.assertEqual('outcome_unknown', answer.error_kind)
             self.assertEqual('unknown', answer.error['ran'])
-        await self.assert_ended()
+        await self.assert_exits_cleanly()
 
     async def test_keyed_request_that_outlives_the_stop(self):
-        """A reorder under an idempotency key outlives its entry's stop.
+        """A reorder with an idempotency key outlives its entry's stop.
 
-        Its caller is told to come back with the same key and gets the answer
-        of the one run at another entry.
+        The answer asks its caller to retry; a retry with the same key at
+        another entry gets the answer of the only run.
         """
-        await self.cluster.fault('s1-engine', slow=4)
-        asked = self.reorder(idempotency_key='order-1')
+        await self.cluster.set_faults('s1-engine', slow=4)
+        reorder = self.start_reorder(idempotency_key='order-1')
         await self.wait_running(1)
-        self.stop()
-        answer = await asked
-        self.assertEqual((503, 'leaving'), (answer.status, answer.kind))
+        self.stop_entry()
+        answer = await reorder
+        self.assertEqual((503, 'leaving'), (answer.status, answer.error_kind))
         self.assertEqual('unknown', answer.error['ran'])
         self.assertIn('Retry-After', answer.headers)
-        self.entry = self.cluster.url('entry-2')
+        self.entry_url = self.cluster.url('entry-2')
         self.assertEqual(
-            201, (await self.reorder(idempotency_key='order-1')).status
+            201, (await self.start_reorder(idempotency_key='order-1')).status
         )
-        runs = (await self.cluster.history('s1-engine'))['runs']
+        runs = (await self.cluster.fetch_history('s1-engine'))['runs']
         self.assertEqual(1, len(runs))
-        await self.assert_ended()
+        await self.assert_exits_cleanly()
 
     async def test_stream_that_outlives_the_stop(self):
-        """A stream is cut at the end of a stop, and read on elsewhere."""
-        asked = self.complete(400)
+        """A stream cut at the end of a stop is resumed at another entry."""
+        completion = self.start_completion(400)
         await self.wait_running(1)
-        self.stop()
-        first = await asked
+        self.stop_entry()
+        first = await completion
         self.assertFalse(first.done)
-        self.entry = self.cluster.url('entry-2')
-        rest = await self.complete(400, last_event_id=first.event_id)
+        self.entry_url = self.cluster.url('entry-2')
+        rest = await self.start_completion(400, last_event_id=first.event_id)
         self.assertTrue(rest.done, rest.error)
         self.assertEqual(400, len(first.tokens) + len(rest.tokens))
-        await self.assert_ended()
+        await self.assert_exits_cleanly()
 
 
-class SilentStoreTest(_StopTest):
+class UnresponsiveStoreTest(_StopTest):
     """A stop while the key-value service does not answer."""
 
     timing = {'drain_seconds': 0.2, 'stop_seconds': 20.0}
 
-    async def test_change_of_settings(self):
-        """An operator changes settings at an entry that is being stopped.
+    async def test_settings_change_during_the_stop(self):
+        """An operator's change at a stopping entry gets an answer.
 
-        The key-value service does not answer, so the change is tried again.
-        The entry waits for its callers only and closes the connection: nobody
-        is told whether the change may have been accepted.
+        The key-value service does not answer, so the entry retries the change.
+        A stop that waits for callers only would close the connection, and the
+        operator would not learn whether the change may have been accepted.
         """
-        await self.cluster.fault('platform', slow=30)
-        self.stop()
+        await self.cluster.set_faults('platform', slow=30)
+        self.stop_entry()
         await self.wait_logged('event=draining')
-        base = self.cluster.parts['entry-1'].extra['administration']
+        base = self.cluster.parts['entry-1'].other_urls['administration']
         async with (
             aiohttp.ClientSession(middlewares=(never_repeat,)) as session,
             session.put(
@@ -257,4 +261,4 @@
             body = await response.json()
         self.assertEqual(503, response.status)
         self.assertEqual('store_unavailable', body['error']['type'])
-        await self.assert_ended()
+        await self.assert_exits_cleanly()
--- a/tests/processes/test_input.py
+++ b/tests/processes/test_input.py
@@ -1,4 +1,4 @@
-"""Callers with an ordinary client library, and callers with bad input."""
+"""Callers that use a common client library, or send invalid input."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 class InputTest(unittest.IsolatedAsyncioTestCase):
-    """One engine, one plain service, one entry."""
+    """A cluster of one engine, one plain service and one entry."""
 
     async def asyncSetUp(self):
         self.cluster = Cluster(limits={'body_bytes': 20_000})
@@ -25,27 +25,30 @@
             {'e1': 'abertawe'}, services={'s1': 'abertawe'}
         )
         self.http = self.cluster.http
-        self.url = self.cluster.url('entry-1')
+        self.entry_url = self.cluster.url('entry-1')
 
     async def assert_serves(self):
-        answer = await complete(self.http, self.url, 5)
+        """Check that requests are answered and no error was unexpected."""
+        answer = await complete(self.http, self.entry_url, 5)
         self.assertTrue(answer.done, answer.error)
         self.assertNotIn('Traceback', self.cluster.log_text)
         self.assertNotIn('unexpected_error', self.cluster.log_text)
 
-    async def test_ordinary_client_library(self):
+    async def test_openai_client_library(self):
         client = openai.AsyncOpenAI(
-            api_key='key-gwenallt', base_url=f'{self.url}/v1', max_retries=0
+            api_key='key-gwenallt',
+            base_url=f'{self.entry_url}/v1',
+            max_retries=0,
         )
         models = await client.models.list()
         self.assertEqual(['cert-1'], [model.id for model in models.data])
-        whole = await client.chat.completions.create(
+        unstreamed = await client.chat.completions.create(
             model='cert-1',
             messages=[{'role': 'user', 'content': 'Cure time? [length=7]'}],
             temperature=0.2,
         )
-        self.assertEqual(7, len(whole.choices[0].message.content.split()))
-        self.assertEqual(7, whole.usage.completion_tokens)
+        self.assertEqual(7, len(unstreamed.choices[0].message.content.split()))
+        self.assertEqual(7, unstreamed.usage.completion_tokens)
         stream = await client.chat.completions.create(
             model='cert-1',
             messages=[{'role': 'user', 'content': 'Guide [length=30]'}],
@@ -63,14 +66,14 @@
         await client.close()
 
     async def test_organisation_sees_only_its_own(self):
-        """Another organisation uses the same idempotency key.
+        """Two organisations use the same idempotency key.
 
-        It gets its own order, not the answer of the first.
+        Each gets the answer of its own order.
         """
         answers = [
             await call_service(
                 self.http,
-                self.url,
+                self.entry_url,
                 'POST',
                 'reorders/reorders',
                 {'crates': 1},
@@ -82,16 +85,16 @@
         serials = {json.loads(answer.text)['serial'] for answer in answers}
         self.assertEqual(2, len(serials))
 
-    async def test_stated_deadline(self):
-        """A caller gives a long guide one second."""
-        answer = await complete(self.http, self.url, 2000, timeout='1')
-        self.assertEqual('deadline_exceeded', answer.kind)
-        refused = await complete(self.http, self.url, 5, timeout='soon')
-        self.assertEqual('invalid_request', refused.kind)
+    async def test_request_timeout(self):
+        """A long completion exceeds its caller's timeout of one second."""
+        answer = await complete(self.http, self.entry_url, 2000, timeout='1')
+        self.assertEqual('deadline_exceeded', answer.error_kind)
+        refused = await complete(self.http, self.entry_url, 5, timeout='soon')
+        self.assertEqual('invalid_request', refused.error_kind)
 
     async def test_mutated_bodies(self):
-        """Hundreds of bodies with changed bytes: an answer or a 4xx each."""
-        source = random.Random(7)
+        """Hundreds of bodies with changed bytes get an answer or a 4xx each."""
+        rng = random.Random(7)
         body = json.dumps(
             {
                 'model': 'cert-1',
@@ -103,25 +106,36 @@
         ).encode()
         for _ in range(400):
             mutated = bytearray(body)
-            for _change in range(source.randint(1, 4)):
-                mutated[source.randrange(len(mutated))] = source.randrange(256)
+            for _change in range(rng.randint(1, 4)):
+                mutated[rng.randrange(len(mutated))] = rng.randrange(256)
             status = await self.post('/v1/completions', bytes(mutated))
-            expected = status == 200 or 400 <= status < 500
-            self.assertTrue(expected, (status, bytes(mutated)))
+            is_expected = status == 200 or 400 <= status < 500
+            self.assertTrue(is_expected, (status, bytes(mutated)))
         await self.assert_serves()
 
-    async def test_odd_bodies(self):
-        deep = b'[' * 15_000 + b']' * 4000
+    async def test_malformed_bodies(self):
+        deeply_nested = b'[' * 15_000 + b']' * 4000
         for path in ('/v1/completions', '/v1/chat/completions'):
-            for body in (b'', b'null', b'{}', b'\xff', deep, b'{"model": 1}'):
+            for body in (
+                b'',
+                b'null',
+                b'{}',
+                b'\xff',
+                deeply_nested,
+                b'{"model": 1}',
+            ):
                 self.assertEqual(400, await self.post(path, body))
             large = json.dumps({'model': 'cert-1', 'prompt': 'x' * 30_000})
             self.assertEqual(413, await self.post(path, large.encode()))
-        lone = b'{"model": "cert-1", "prompt": "\\ud800", "max_tokens": 2}'
-        self.assertEqual(400, await self.post('/v1/completions', lone))
+        lone_surrogate = (
+            b'{"model": "cert-1", "prompt": "\\ud800", "max_tokens": 2}'
+        )
+        self.assertEqual(
+            400, await self.post('/v1/completions', lone_surrogate)
+        )
         await self.assert_serves()
 
-    async def test_odd_headers(self):
+    async def test_malformed_headers(self):
         headers = {
             'Idempotency-Key': 'k' * 500,
             'Last-Event-ID': 'x' * 4000,
@@ -144,16 +158,16 @@
         ):
             async with self.http.request(
                 method,
-                f'{self.url}{path}',
+                f'{self.entry_url}{path}',
                 headers={'Authorization': 'Bearer key-gwenallt'},
             ) as response:
                 self.assertIn(response.status, {400, 404})
                 self.assertIn('error', await response.json())
 
-    async def test_strangers_on_the_link_port(self):
-        """Somebody without the key, or with nonsense, connects to a link.
+    async def test_unauthenticated_peers_on_the_link_port(self):
+        """Peers without the process key, or with garbage, connect.
 
-        Each is closed; the endpoint serves on.
+        Each connection is closed, and the endpoint keeps serving.
         """
         status = await self.cluster.administer('GET', '/status')
         self.assertTrue(status['endpoints'])
@@ -166,14 +180,14 @@
                 self.assertEqual(1008, socket.close_code)
         await self.assert_serves()
 
-    async def test_peer_that_breaks_the_protocol(self):
-        """A peer with the right key sends hostile frames after its greeting."""
+    async def test_peer_that_violates_the_protocol(self):
+        """A peer with the right key sends random bytes after its greeting."""
         url = await self.link_url()
-        source = random.Random(3)
+        rng = random.Random(3)
         for _ in range(30):
             async with connect(url, ping_interval=None) as socket:
                 await self.greet(socket)
-                await socket.send(source.randbytes(source.randint(1, 60)))
+                await socket.send(rng.randbytes(rng.randint(1, 60)))
                 await asyncio.wait_for(socket.wait_closed(), 5)
         await self.assert_serves()
 
@@ -189,7 +203,7 @@
 
     async def post(self, path, body, headers=None):
         async with self.http.post(
-            f'{self.url}{path}',
+            f'{self.entry_url}{path}',
             data=body,
             headers={
                 'Authorization': 'Bearer key-gwenallt',
--- a/tests/processes/test_platform.py
+++ b/tests/processes/test_platform.py
@@ -1,4 +1,4 @@
-"""The programs as the users' platform starts them: real processes."""
+"""Starts the programs as the users' platform does, as real processes."""
 
 import asyncio
 import json
@@ -17,10 +17,11 @@
 from .harness import free_port
 
 _ROOT = Path(__file__).resolve().parents[2]
-_STOP_SECONDS = 15
+_EVENT_TIMEOUT_SECONDS = 15
 
 
 def make_settings(**fields):
+    """Return settings of an entry, with other values for given fields."""
     return {
         'name': 'edge-1',
         'host': '127.0.0.1',
@@ -50,7 +51,7 @@
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.file = Path(folder.name) / 'node.json'
+        self.settings_file = Path(folder.name) / 'node.json'
         self.settings = make_settings()
 
     async def start(self, role='entry'):
@@ -60,28 +61,35 @@
             'primrosewood.platform',
             role,
             cwd=_ROOT,
-            env={**os.environ, 'PRIMROSEWOOD_NODE_FILE': str(self.file)},
+            env={
+                **os.environ,
+                'PRIMROSEWOOD_NODE_FILE': str(self.settings_file),
+            },
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
         )
-        self.addAsyncCleanup(self.end, process)
+        self.addAsyncCleanup(self.kill, process)
         return process
 
-    async def end(self, process):
+    async def kill(self, process):
         if process.returncode is None:
             process.kill()
         await process.wait()
         process._transport.close()
 
     async def read_event(self, process, event):
-        async with asyncio.timeout(_STOP_SECONDS):
+        """Return the next line that logs an event."""
+        async with asyncio.timeout(_EVENT_TIMEOUT_SECONDS):
             while True:
                 line = (await process.stdout.readline()).decode()
-                self.assertTrue(line, f'it ended before {event}')
+                self.assertTrue(
+                    line, f'the process exited before event={event}'
+                )
                 if f'event={event}' in line:
                     return line
 
     async def serve_store(self):
+        """Serve a key-value service with a table and one back end."""
         stand_in = StoreStandIn()
         table = {'version': 3}
         await stand_in.store.put('op/config', json.dumps(table).encode())
@@ -107,7 +115,7 @@
 
     async def test_start_reload_and_stop(self):
         await self.serve_store()
-        self.file.write_text(json.dumps(self.settings))
+        self.settings_file.write_text(json.dumps(self.settings))
         process = await self.start()
         started = await self.read_event(process, 'started')
         self.assertIn('failure_domain=d1', started)
@@ -115,21 +123,22 @@
         in_force = await self.read_event(process, 'table_in_force')
         self.assertIn('version=3', in_force)
         self.assertTrue(await self.is_ready())
-        self.file.write_text('{')
+        self.settings_file.write_text('{')
         process.send_signal(signal.SIGHUP)
         await self.read_event(process, 'reload_refused')
         self.assertTrue(await self.is_ready())
-        self.file.write_text(json.dumps(self.settings))
+        self.settings_file.write_text(json.dumps(self.settings))
         process.send_signal(signal.SIGHUP)
         reloaded = await self.read_event(process, 'reloaded')
         self.assertIn('changed=False', reloaded)
-        # Without a signal; the size differs, so that no clock matters.
+        # Without a signal: a changed file is found by its time or its size, and
+        # the new size differs in case the time does not.
         self.settings['limits']['repeat_slack'] = 1234
         self.settings['seeds'] = ['127.0.0.1:1']
-        self.file.write_text(json.dumps(self.settings))
+        self.settings_file.write_text(json.dumps(self.settings))
         reloaded = await self.read_event(process, 'reloaded')
         self.assertIn('changed=True needs_restart=seeds', reloaded)
-        self.file.write_text('{"name": 5}')
+        self.settings_file.write_text('{"name": 5}')
         await self.read_event(process, 'reload_refused')
         self.assertTrue(await self.is_ready())
         process.send_signal(signal.SIGTERM)
@@ -138,24 +147,24 @@
         await self.read_event(process, 'stopped')
         self.assertEqual(0, await process.wait())
 
-    async def test_settings_that_do_not_match(self):
+    async def test_invalid_settings(self):
         self.settings['limits']['stop_seconds'] = 'soon'
         self.settings['link_port'] = 0
-        self.file.write_text(json.dumps(self.settings))
+        self.settings_file.write_text(json.dumps(self.settings))
         process = await self.start()
         _out, errors = await process.communicate()
         self.assertEqual(2, process.returncode)
         self.assertIn('/limits/stop_seconds: ', errors.decode())
         self.assertIn('/link_port: ', errors.decode())
 
-    async def test_settings_without_the_role(self):
-        self.file.write_text(json.dumps(self.settings))
+    async def test_settings_without_the_section_of_the_role(self):
+        self.settings_file.write_text(json.dumps(self.settings))
         process = await self.start('endpoint')
         _out, errors = await process.communicate()
         self.assertEqual(2, process.returncode)
         self.assertIn('/endpoint: this section is missing', errors.decode())
 
-    async def test_settings_that_are_missing(self):
+    async def test_missing_settings_file(self):
         process = await self.start()
         _out, errors = await process.communicate()
         self.assertEqual(2, process.returncode)
--- a/tests/processes/test_platform_entry_stop.py
+++ b/tests/processes/test_platform_entry_stop.py
@@ -1,4 +1,4 @@
-"""What a slow reader gets of its answer when its entry is stopped."""
+"""A slow reader gets its whole answer although its entry is stopped."""
 
 import asyncio
 import json
@@ -22,53 +22,58 @@
 from .test_platform import make_settings
 
 _ROOT = Path(__file__).resolve().parents[2]
-_WAIT_SECONDS = 15
-# The stop lasts 4 s; with nobody to answer the entry ends after 2.6 s.
-_STANDSTILL_SECONDS = 3.0
-# What the event loop holds beyond what the kernel takes, without telling the
-# handler to wait.
-_HELD_BYTES = 32_768
-_MORE_THAN_KERNEL = 16_000_000
-_SMALL_BUFFER = 4096
+_START_TIMEOUT_SECONDS = 15
+# A stop may take 4 s; without calls the entry exits after 2.6 s.
+_READ_PAUSE_SECONDS = 3.0
+# Bytes that the event loop buffers, beyond those that the kernel does, without
+# pausing the handler.
+_EVENT_LOOP_BYTES = 32_768
+# More than the kernel buffers.
+_PROBE_BYTES = 16_000_000
+_SMALL_BUFFER_BYTES = 4096
 
 
 async def _connect_slowly(host, port):
     receiver = socket.socket()
-    receiver.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _SMALL_BUFFER)
+    receiver.setsockopt(
+        socket.SOL_SOCKET, socket.SO_RCVBUF, _SMALL_BUFFER_BYTES
+    )
     receiver.setblocking(False)
     loop = asyncio.get_running_loop()
     await loop.sock_connect(receiver, (host, int(port)))
-    return await asyncio.open_connection(sock=receiver, limit=_SMALL_BUFFER)
+    return await asyncio.open_connection(
+        sock=receiver, limit=_SMALL_BUFFER_BYTES
+    )
 
 
-async def _measure_kernel():
-    """Return what the kernel takes for a reader that stands still."""
-    left = asyncio.get_running_loop().create_future()
+async def _measure_kernel_buffers():
+    """Return the bytes that the kernel buffers for a paused reader."""
+    unsent = asyncio.get_running_loop().create_future()
 
     async def write(_reader, writer):
-        writer.write(bytes(_MORE_THAN_KERNEL))
+        writer.write(bytes(_PROBE_BYTES))
         await asyncio.sleep(1)
-        left.set_result(writer.transport.get_write_buffer_size())
+        unsent.set_result(writer.transport.get_write_buffer_size())
         writer.transport.abort()
 
     async with await asyncio.start_server(write, '127.0.0.1', 0) as server:
         _reader, writer = await _connect_slowly(
             *server.sockets[0].getsockname()
         )
-        taken = _MORE_THAN_KERNEL - await left
+        buffered = _PROBE_BYTES - await unsent
         writer.transport.abort()
-    return taken
+    return buffered
 
 
 class SlowReaderTest(unittest.IsolatedAsyncioTestCase):
-    """An answer that is written, and not yet read."""
+    """An answer that is written completely but not yet read."""
 
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.file = Path(folder.name) / 'node.json'
+        self.settings_file = Path(folder.name) / 'node.json'
         self.settings = make_settings()
-        self.file.write_text(json.dumps(self.settings))
+        self.settings_file.write_text(json.dumps(self.settings))
 
     async def serve(self, runner, address):
         await runner.setup()
@@ -96,16 +101,19 @@
             'primrosewood.platform',
             'entry',
             cwd=_ROOT,
-            env={**os.environ, 'PRIMROSEWOOD_NODE_FILE': str(self.file)},
+            env={
+                **os.environ,
+                'PRIMROSEWOOD_NODE_FILE': str(self.settings_file),
+            },
             stdout=asyncio.subprocess.PIPE,
         )
-        self.addAsyncCleanup(self.end, process)
-        async with asyncio.timeout(_WAIT_SECONDS):
+        self.addAsyncCleanup(self.kill, process)
+        async with asyncio.timeout(_START_TIMEOUT_SECONDS):
             while not await self.is_ready():
                 await asyncio.sleep(0.05)
         return process
 
-    async def end(self, process):
+    async def kill(self, process):
         if process.returncode is None:
             process.kill()
         await process.wait()
@@ -119,7 +127,8 @@
         except aiohttp.ClientConnectorError:
             return False
 
-    async def ask(self):
+    async def send_request(self):
+        """Request the long answer and return a reader after its head."""
         address = self.settings['entry']['callers']
         reader, writer = await _connect_slowly(*address.split(':'))
         self.addCleanup(writer.close)
@@ -133,21 +142,21 @@
         self.assertIn(b' 200 ', head)
         return reader
 
-    async def test_end_of_an_answer(self):
-        """A caller reads slowly when its entry is asked to stop.
+    async def test_end_of_a_slowly_read_answer(self):
+        """The last bytes of an answer are not lost with the event loop.
 
-        The whole answer is written and its request counts as answered; the
-        event loop holds the last bytes, for which the kernel has no room. The
-        entry ends as soon as nobody is left, and they end with it.
+        The whole answer is written, so its request counts as answered, but
+        the event loop still buffers bytes that exceed the kernel's buffers.
+        An entry that exits as soon as no request is left would drop them.
         """
-        body = bytes(await _measure_kernel() + _HELD_BYTES)
+        body = bytes(await _measure_kernel_buffers() + _EVENT_LOOP_BYTES)
         await self.serve_all(body)
         process = await self.start()
-        reader = await self.ask()
+        reader = await self.send_request()
         process.send_signal(signal.SIGTERM)
-        await asyncio.sleep(_STANDSTILL_SECONDS)
+        await asyncio.sleep(_READ_PAUSE_SECONDS)
         received = 0
-        while part := await reader.read(len(body)):
-            received += len(part)
+        while chunk := await reader.read(len(body)):
+            received += len(chunk)
         self.assertEqual(len(body), received)
         self.assertEqual(0, await process.wait())
--- a/tests/processes/test_platform_load.py
+++ b/tests/processes/test_platform_load.py
@@ -1,4 +1,4 @@
-"""The load tool against a deployment of stand-ins, all real processes."""
+"""The load tool against entry, endpoints and stand-ins, as processes."""
 
 import asyncio
 import json
@@ -14,11 +14,11 @@
 from .test_platform import make_settings
 
 _ROOT = Path(__file__).resolve().parents[2]
-_START_SECONDS = 15
+_LINE_TIMEOUT_SECONDS = 15
 
 
 class PlatformLoadTest(unittest.IsolatedAsyncioTestCase):
-    """An entry, two processes beside engines, stand-ins and callers."""
+    """An entry and two endpoints against stand-ins, with generated load."""
 
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -29,9 +29,9 @@
         self.link_port = free_port()
         fleet = await self.start('standins.fleet', f'--port={self.port}')
         await self.wait_line(fleet, 'listening')
-        self.sides = {}
+        self.endpoints = {}
         for number in (1, 2):
-            self.sides[f'i-{number}'] = await self.start_node(
+            self.endpoints[f'i-{number}'] = await self.start_node(
                 'endpoint',
                 name=f'side-{number}',
                 host=f'127.0.0.{number + 1}',
@@ -41,7 +41,7 @@
                 },
             )
         self.entry = await self.start_node('entry')
-        self.callers = self.settings['entry']['callers']
+        self.caller_address = self.settings['entry']['callers']
         await self.wait_line(self.entry, 'event=table_in_force')
         await asyncio.sleep(0.5)
 
@@ -66,23 +66,26 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.DEVNULL,
         )
-        self.addAsyncCleanup(self.end, process)
+        self.addAsyncCleanup(self.kill, process)
         return process
 
-    async def end(self, process):
+    async def kill(self, process):
         if process.returncode is None:
             process.kill()
         await process.communicate()
 
-    async def wait_line(self, process, wanted):
-        seen = []
+    async def wait_line(self, process, text):
+        """Wait until a process prints a line that contains a text."""
+        lines = []
         try:
-            async with asyncio.timeout(_START_SECONDS):
-                while not seen or wanted not in seen[-1]:
-                    seen.append((await process.stdout.readline()).decode())
-                    self.assertTrue(seen[-1], f'it ended before {wanted}')
+            async with asyncio.timeout(_LINE_TIMEOUT_SECONDS):
+                while not lines or text not in lines[-1]:
+                    lines.append((await process.stdout.readline()).decode())
+                    self.assertTrue(
+                        lines[-1], f'the process exited before {text}'
+                    )
         except TimeoutError:
-            self.fail(f'no {wanted} in {"".join(seen)}')
+            self.fail(f'no {text} in {"".join(lines)}')
 
     async def set_faults(self, **faults):
         async with aiohttp.ClientSession() as session:
@@ -90,10 +93,10 @@
             async with session.post(url, json=faults) as response:
                 self.assertEqual(200, response.status)
 
-    async def load(self, workload):
+    async def start_load(self, workload):
         process = await self.start(
             'primrosewood.platform.load',
-            f'--urls=http://{self.callers}',
+            f'--urls=http://{self.caller_address}',
             '--host=h.example',
             '--key=key-1',
             f'--workload={workload}',
@@ -102,28 +105,29 @@
         )
         return process
 
-    async def finish(self, process):
+    async def wait_exit(self, process):
+        """Return a process's exit code and its output."""
         async with asyncio.timeout(60):
             out, _errors = await process.communicate()
         return process.returncode, out.decode()
 
-    async def test_workload_while_an_engine_leaves_and_the_store_is_away(self):
-        """An engine is reclaimed, then the key-value service goes.
+    async def test_workload_while_an_engine_leaves_and_the_store_is_down(self):
+        """An engine is reclaimed, then the key-value service goes down.
 
-        Every answer comes whole and once all the same.
+        Every answer is still complete, and no request fails.
         """
-        loading = await self.load('hengelwinkel')
-        # A stream runs there for two seconds, longer than the notice.
+        load = await self.start_load('hengelwinkel')
+        # A stream there takes two seconds, longer than the engine's notice.
         await self.wait_line(
             self.entry, 'route=generate organisation=o1 endpoint=i-1'
         )
         await self.set_faults(leave={'i-1': 600})
         await asyncio.sleep(1)
         await self.set_faults(down=True)
-        code, out = await self.finish(loading)
+        code, out = await self.wait_exit(load)
         self.assertEqual(0, code, out)
         self.assertIn(' faults=0', out)
         for kind in ('guide', 'label', 'lookup', 'reorder'):
             self.assertIn(f'kind={kind} ', out)
         self.assertNotIn('cut_', out)
-        await self.wait_line(self.sides['i-1'], 'event=moved')
+        await self.wait_line(self.endpoints['i-1'], 'event=moved')
--- a/tests/processes/test_resume.py
+++ b/tests/processes/test_resume.py
@@ -1,4 +1,4 @@
-"""Every token once, in order, from a single generation, under failure."""
+"""Failures lose no token: each once, in order, from one generation."""
 
 import asyncio
 import signal
@@ -20,7 +20,7 @@
             {'e1': 'abertawe', 'e2': 'caerdydd'}, entries=2
         )
 
-    async def ask(self, length, entry=1, **options):
+    async def request(self, length, entry=1, **options):
         return await complete(
             self.cluster.http,
             self.cluster.url(f'entry-{entry}'),
@@ -28,10 +28,10 @@
             **options,
         )
 
-    async def starts(self):
+    async def generation_starts(self):
         """Return how often each generation began, over both engines."""
         histories = [
-            await self.cluster.history(f'{name}-engine')
+            await self.cluster.fetch_history(f'{name}-engine')
             for name in ('e1', 'e2')
         ]
         return [
@@ -40,158 +40,158 @@
             for count in history['starts'].values()
         ]
 
-    async def server_of(self, started):
-        """Return the endpoint that runs the one generation."""
+    async def find_serving_endpoint(self, kind):
+        """Return the endpoint that runs the only generation."""
         for name in ('e1', 'e2'):
-            if (await self.cluster.history(f'{name}-engine'))['starts']:
+            if (await self.cluster.fetch_history(f'{name}-engine'))['starts']:
                 return name
-        raise AssertionError(started)
+        raise AssertionError(f'no engine started the {kind}')
 
-    def assert_whole(self, answer, length):
+    def assert_complete(self, answer, length):
         self.assertTrue(answer.done, answer.error)
         self.assertEqual(length, len(answer.tokens))
         record = AnswerRecord('r', tuple(answer.tokens), complete=True)
         self.assertEqual([], check_tokens([record]))
 
-    async def act_at(self, tokens, act, length, **options):
-        """Ask for a stream and act once after so many tokens."""
+    async def act_after(self, token_count, action, length, **options):
+        """Read a stream and run an action once after some tokens."""
         acted = False
 
         async def on_chunk(answer):
             nonlocal acted
-            if not acted and len(answer.tokens) >= tokens:
+            if not acted and len(answer.tokens) >= token_count:
                 acted = True
-                await act()
+                await action()
 
-        return await self.ask(length, on_chunk=on_chunk, **options)
+        return await self.request(length, on_chunk=on_chunk, **options)
 
     async def test_entry_dies(self):
-        """The entry is killed in mid-guide.
+        """The entry is killed during a stream.
 
-        The reader's client reconnects by the other entry with the last event
-        id, and reads on without a token missing or doubled.
+        The caller reconnects to the other entry with the last event id and
+        gets the rest, with no token missing or repeated.
         """
 
         async def kill():
             self.cluster.kill('entry-1')
 
-        first = await self.act_at(30, kill, 200)
+        first = await self.act_after(30, kill, 200)
         self.assertFalse(first.done)
-        second = await self.ask(200, entry=2, last_event_id=first.event_id)
+        second = await self.request(200, entry=2, last_event_id=first.event_id)
         second.text = first.text + second.text
-        self.assert_whole(second, 200)
-        self.assertEqual([1], await self.starts())
+        self.assert_complete(second, 200)
+        self.assertEqual([1], await self.generation_starts())
 
     async def test_endpoint_process_dies_and_its_engine_lives(self):
-        """The endpoint process is killed in mid-guide and started again.
+        """The endpoint process is killed during a stream and restarted.
 
-        The reader sees a pause; the engine's stream is picked up where the
-        reader stands.
+        The stream pauses and continues from the same generation of the engine,
+        at the token that the caller is at.
         """
 
         async def kill():
-            name = await self.server_of('stream')
+            name = await self.find_serving_endpoint('stream')
             self.cluster.kill(name)
             self.cluster.restart(name)
 
-        answer = await self.act_at(30, kill, 250)
-        self.assert_whole(answer, 250)
-        self.assertEqual([1], await self.starts())
+        answer = await self.act_after(30, kill, 250)
+        self.assert_complete(answer, 250)
+        self.assertEqual([1], await self.generation_starts())
 
     async def test_endpoint_process_is_paused(self):
-        """The endpoint process stands still for longer than the silence."""
+        """The endpoint process is paused longer than the silence timeout."""
 
         async def pause():
-            name = await self.server_of('stream')
+            name = await self.find_serving_endpoint('stream')
             self.cluster.kill(name, signal.SIGSTOP)
             loop = asyncio.get_running_loop()
             loop.call_later(2.5, self.cluster.kill, name, signal.SIGCONT)
 
-        answer = await self.act_at(30, pause, 250)
-        self.assert_whole(answer, 250)
-        self.assertEqual([1], await self.starts())
+        answer = await self.act_after(30, pause, 250)
+        self.assert_complete(answer, 250)
+        self.assertEqual([1], await self.generation_starts())
 
-    async def test_engine_link_is_cut(self):
-        """The connection between endpoint and engine breaks in mid-stream."""
+    async def test_engine_connection_breaks(self):
+        """The connection from endpoint to engine breaks during a stream."""
         for name in ('e1', 'e2'):
-            await self.cluster.fault(f'{name}-engine', cut_at=20)
-        answer = await self.ask(100)
-        self.assert_whole(answer, 100)
-        self.assertEqual([1], await self.starts())
+            await self.cluster.set_faults(f'{name}-engine', cut_at=20)
+        answer = await self.request(100)
+        self.assert_complete(answer, 100)
+        self.assertEqual([1], await self.generation_starts())
 
-    async def test_engine_dies_under_a_reader(self):
-        """The engine is killed after part of a guide was read.
+    async def test_engine_dies_during_a_stream(self):
+        """The engine is killed after part of a stream was read.
 
-        A second generation would not match the part already read, so the
-        stream ends with an error; it must not be spliced.
+        A second generation would not match that part, so the stream must end
+        with an error and not continue with other tokens.
         """
 
         async def kill():
-            name = await self.server_of('stream')
+            name = await self.find_serving_endpoint('stream')
             self.cluster.kill(f'{name}-engine')
 
-        answer = await self.act_at(30, kill, 300)
+        answer = await self.act_after(30, kill, 300)
         self.assertFalse(answer.done)
-        self.assertEqual('generation_lost', answer.kind)
+        self.assertEqual('generation_lost', answer.error_kind)
         self.assertEqual('yes', answer.error['ran'])
-        record = AnswerRecord('r', tuple(answer.tokens), kind=answer.kind)
+        record = AnswerRecord('r', tuple(answer.tokens), kind=answer.error_kind)
         self.assertEqual([], check_tokens([record]))
 
-    async def test_engine_dies_under_a_whole_answer(self):
-        """The engine is killed while a label is made that nobody reads yet.
+    async def test_engine_dies_during_an_unstreamed_answer(self):
+        """The engine is killed before any of the answer was forwarded.
 
-        Nothing was handed on, so another engine makes it whole.
+        Another engine then generates the whole answer.
         """
-        asked = asyncio.create_task(self.ask(150, stream=False))
-        await self.cluster.wait_until(self.starts)
-        name = await self.server_of('label')
+        completion = asyncio.create_task(self.request(150, stream=False))
+        await self.cluster.wait_until(self.generation_starts)
+        name = await self.find_serving_endpoint('label')
         self.cluster.kill(f'{name}-engine')
-        answer = await asked
-        self.assert_whole(answer, 150)
+        answer = await completion
+        self.assert_complete(answer, 150)
 
     async def test_both_entry_and_endpoint_die(self):
-        """Entry and endpoint process are killed in the same moment."""
+        """Entry and endpoint process are killed at the same time."""
 
         async def kill():
-            name = await self.server_of('stream')
+            name = await self.find_serving_endpoint('stream')
             self.cluster.kill('entry-1')
             self.cluster.kill(name)
             self.cluster.restart(name)
 
-        first = await self.act_at(30, kill, 250)
-        second = await self.ask(250, entry=2, last_event_id=first.event_id)
+        first = await self.act_after(30, kill, 250)
+        second = await self.request(250, entry=2, last_event_id=first.event_id)
         second.text = first.text + second.text
-        self.assert_whole(second, 250)
-        self.assertEqual([1], await self.starts())
+        self.assert_complete(second, 250)
+        self.assertEqual([1], await self.generation_starts())
 
-    async def test_finished_stream_is_still_there(self):
-        """The last part of a finished guide was lost on the way."""
-        whole = await self.ask(80)
-        middle = f'{whole.event_id.rpartition(".")[0]}.50'
-        rest = await self.ask(80, entry=2, last_event_id=middle)
-        self.assertEqual(whole.tokens[50:], rest.tokens)
+    async def test_finished_stream_can_be_resumed(self):
+        """A caller that lost the end of a finished stream gets it again."""
+        complete_answer = await self.request(80)
+        middle = f'{complete_answer.event_id.rpartition(".")[0]}.50'
+        rest = await self.request(80, entry=2, last_event_id=middle)
+        self.assertEqual(complete_answer.tokens[50:], rest.tokens)
 
     async def test_token_of_another_organisation(self):
-        """Somebody tries a resume token that is not theirs, or is no token."""
-        whole = await self.ask(20)
+        """Resume tokens that are invalid or another caller's are refused."""
+        original = await self.request(20)
         for token, key, kind in (
-            (whole.event_id, 'key-rhosyn', 'forbidden'),
-            (f'x{whole.event_id[1:]}', 'key-gwenallt', 'invalid_request'),
+            (original.event_id, 'key-rhosyn', 'forbidden'),
+            (f'x{original.event_id[1:]}', 'key-gwenallt', 'invalid_request'),
             ('AAAA.1', 'key-gwenallt', 'invalid_request'),
             ('\u00e9.5', 'key-gwenallt', 'invalid_request'),
         ):
-            answer = await self.ask(20, key=key, last_event_id=token)
-            self.assertEqual(kind, answer.kind)
+            answer = await self.request(20, key=key, last_event_id=token)
+            self.assertEqual(kind, answer.error_kind)
             self.assertEqual([], answer.tokens)
 
-    async def test_slow_reader_holds_up_nobody(self):
-        """One reader stops reading in mid-guide while another reads on."""
+    async def test_slow_reader_does_not_delay_others(self):
+        """One caller pauses during its stream while another reads on."""
 
         async def stall(answer):
             if len(answer.tokens) == 5:
                 await asyncio.sleep(2.0)
 
-        slow = asyncio.create_task(self.ask(150, on_chunk=stall))
-        fast = await self.ask(100)
-        self.assert_whole(fast, 100)
-        self.assert_whole(await slow, 150)
+        slow = asyncio.create_task(self.request(150, on_chunk=stall))
+        fast = await self.request(100)
+        self.assert_complete(fast, 100)
+        self.assert_complete(await slow, 150)
