--- a/tests/processes/restarts/checker.py
+++ b/tests/processes/restarts/checker.py
@@ -1,4 +1,4 @@
-"""Checks the recorded history of a run against what attempters rely on."""
+"""Checks the recorded history of a run against what callers rely on."""
 
 from ...windows import most_in_window
 from .history import (
@@ -12,10 +12,11 @@
 # Statuses which promise that the request has not run and never will.
 REFUSAL_STATUSES = (408, 421, 429, 503)
 
-# A attempt that still runs this late in a stop may fail; a stream sent before the
-# balancer reacted to the stop may be cut.
+# A call that still runs this late in a stop may fail, and a stream may be cut
+# if it was sent before the balancer reacted to the stop.
 _LATE_SECONDS = STOP_SECONDS * 5 / 6
-# Two failed health checks in a row then fit in before the fourth second.
+# After SIGTERM; two failed health checks in a row then still fit in before the
+# fourth second.
 _MAX_READY_SECONDS = 2
 # From the first answer that announces a limit until entries must respect it.
 _LIMIT_REACTION_SECONDS = 3
--- a/tests/processes/restarts/components.py
+++ b/tests/processes/restarts/components.py
@@ -33,7 +33,7 @@
 )
 
 _ROOT = Path(__file__).resolve().parents[3]
-_START_SECONDS = 15
+_READY_TIMEOUT_SECONDS = 15
 _PROMPT_TOKENS_PER_SECOND = 14_000
 
 
@@ -120,7 +120,7 @@
         self._history.lifetimes.append(self.lifetime)
 
     async def wait_ready(self):
-        async with asyncio.timeout(_START_SECONDS):
+        async with asyncio.timeout(_READY_TIMEOUT_SECONDS):
             while self.lifetime.first_ready_at is None:
                 await asyncio.sleep(0.05)
 
--- a/tests/processes/restarts/load.py
+++ b/tests/processes/restarts/load.py
@@ -79,7 +79,7 @@
             )
 
     async def _send_once(self, request):
-        """Send a request over a new connection, and close that."""
+        """Send a request over a new connection and close the connection."""
         connection = await self._send(request, None)
         if connection is not None:
             connection.close()
@@ -110,7 +110,7 @@
 
 
 class Connection:
-    """A caller's connection; tells a reset by the peer from an orderly close."""
+    """A caller's connection; tells whether the entry read a request."""
 
     def __init__(self, lifetime, sock):
         self.lifetime = lifetime
--- a/tests/processes/test_platform_load.py
+++ b/tests/processes/test_platform_load.py
@@ -114,7 +114,7 @@
     async def test_workload_while_an_engine_leaves_and_the_store_is_down(self):
         """An engine is reclaimed, then the key-value service goes down.
 
-        Every answer is still complete, and no request fails.
+        Every answer still arrives, complete and once.
         """
         load = await self.start_load('hengelwinkel')
         # A stream there takes two seconds, longer than the engine's notice.
--- a/tests/processes/test_platform_restarts.py
+++ b/tests/processes/test_platform_restarts.py
@@ -85,7 +85,7 @@
     }
 
 
-class ChecksTest(unittest.TestCase):
+class HistoryCheckerTest(unittest.TestCase):
     """Each check finds its kind of violation in a made-up history."""
 
     def setUp(self):
@@ -161,7 +161,7 @@
         self.assert_violations('the body of another call')
 
     def test_events(self):
-        """All events; one is missing, one comes twice, the last is missing."""
+        """All events; one missing, one repeated, the last one missing."""
         for numbers in ('123', '13', '1223', '12'):
             events = ''.join(
                 f'id: {number}\ndata: a-1\n\n' for number in numbers
@@ -195,7 +195,10 @@
 
 
 def _make_answer(body):
-    head = f'{SEAL_HEADER}: s\r\n{ATTEMPT_HEADER}: a-1\r\nContent-Length: {len(body)}'
+    head = (
+        f'{SEAL_HEADER}: s\r\n{ATTEMPT_HEADER}: a-1\r\n'
+        f'Content-Length: {len(body)}'
+    )
     return f'HTTP/1.1 200 OK\r\n{head}\r\n\r\n'.encode() + body
 
 
@@ -285,7 +288,7 @@
         return entries
 
     async def restart_in_turn(self, entries, random):
-        """Restart each entry, then stop it again; first stops always overlap."""
+        """Restart each entry, then stop it again; the first stops overlap."""
         random.shuffle(entries)
         delay = 1.0
         async with asyncio.TaskGroup() as stops:
