--- a/primrosewood/ctl.py
+++ b/primrosewood/ctl.py
@@ -17,8 +17,8 @@
 from .documents import find_differences
 from .errors import SettingsInvalidError
 from .loglines import LogLine, count_outcomes, parse_lines
-from .logstory import tell_story
 from .losses import find_losses
+from .requesttrace import tell_story
 
 __all__ = ('Ctl', 'main')
 
--- a/primrosewood/relay.py
+++ b/primrosewood/relay.py
@@ -25,7 +25,7 @@
     WireError,
 )
 from .events import EventSplitter
-from .loglines import STOPPED
+from .loglines import PROCESS_STOPPED
 from .logs import log_decision
 from .metrics import Metrics
 from .moves import MoveNotice, MoveNotices
@@ -106,7 +106,7 @@
         self, progress: CallProgress
     ) -> RequestFailedError:
         if self._timers.ended:
-            why = BackendCutError(STOPPED)
+            why = BackendCutError(PROCESS_STOPPED)
             return self._placement.make_failure(
                 progress, ErrorKind.outcome_unknown, why
             )
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -37,7 +37,7 @@
     cold_slack=5,
 )
 KEY = {'Authorization': 'Bearer key-1'}
-GUIDE = {'Primrosewood-Token-Usage': '1000,80', **KEY}
+GENERATION_HEADERS = {'Primrosewood-Token-Usage': '1000,80', **KEY}
 
 
 def make_table(version=1, keys=('key-1',), prefix='/lookup/', **limits):
