--- a/primrosewood/platform/documents.py
+++ b/primrosewood/platform/documents.py
@@ -1,4 +1,8 @@
-"""What operators and back ends write to the key-value service, decoded."""
+"""Decodes the documents that operators and back ends write to the store.
+
+The structs have the platform's field names; the functions return the
+package's own types.
+"""
 
 from typing import Annotated, Literal
 
@@ -30,14 +34,14 @@
 
 _MILLISECONDS = 1000
 
-Text = Annotated[str, msgspec.Meta(min_length=1)]
-Count = Annotated[int, msgspec.Meta(ge=0)]
-Number = Annotated[float, msgspec.Meta(ge=0)]
+NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
+NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
 
 
-class _Split(msgspec.Struct):
+class _WeightedService(msgspec.Struct):
     service: str
-    weight: Number
+    weight: NonNegativeFloat
 
 
 class _Route(msgspec.Struct):
@@ -45,42 +49,47 @@
     host: str
     path_prefix: str
     route_kind: RouteKind
-    timeout_ms: Number
-    # Within it an answer earns all it can: an objective, not a limit.
-    goal_ms: Number = 0
-    # Between two events; longer ones make a stream late, no more.
-    gap_aim_ms: Number = 0
-    # Empty where the route splits its calls.
+    timeout_ms: NonNegativeFloat
+    # Latency objective, not a limit: a response within it counts as on time.
+    goal_ms: NonNegativeFloat = 0
+    # Objective for the time between two events of a stream; a longer gap
+    # makes the stream late but does not end it.
+    gap_aim_ms: NonNegativeFloat = 0
+    # Empty where ``split`` distributes the calls over several services.
     service: str = ''
-    split: list[_Split] = []
-    # Counts back ends, not tries.
-    max_attempts: Count = 1
+    split: list[_WeightedService] = []
+    # Back ends that may run one call, not attempts to reach them.
+    max_attempts: NonNegativeInt = 1
     anonymous: bool = False
     resumable: bool = False
 
 
-class _Engine(msgspec.Struct):
-    slots: Count
-    # Tokens, not bytes.
-    kv_capacity: Count
+class _EngineTraits(msgspec.Struct):
+    slots: NonNegativeInt
+    # Size of the KV cache in tokens, not bytes.
+    kv_capacity: NonNegativeInt
     # Tokens in one event of a stream.
-    stride: Count = 1
+    stride: NonNegativeInt = 1
+    # Whether a running generation can be moved to another engine.
     moves: bool = False
 
 
-class _Service(msgspec.Struct):
+class _ServiceTraits(msgspec.Struct):
     name: str
-    cold_per_s: Number = 0
-    engine: _Engine | None = None
+    # Calls per second that a cold back end can take; 0 means no limit.
+    cold_per_s: NonNegativeFloat = 0
+    engine: _EngineTraits | None = None
 
 
 class _Limits(msgspec.Struct):
-    max_header_bytes: Count = CallerLimits().header_bytes
-    max_body_bytes: Count = CallerLimits().body_bytes
-    header_timeout_ms: Number = CallerLimits().head_seconds * _MILLISECONDS
+    max_header_bytes: NonNegativeInt = CallerLimits().header_bytes
+    max_body_bytes: NonNegativeInt = CallerLimits().body_bytes
+    header_timeout_ms: NonNegativeFloat = (
+        CallerLimits().head_seconds * _MILLISECONDS
+    )
 
 
-class _Holder(msgspec.Struct):
+class _Tenant(msgspec.Struct):
     name: str
     api_keys: list[str] = []
 
@@ -88,38 +97,44 @@
 class _Table(msgspec.Struct):
     version: int
     routes: list[_Route] = []
-    services: list[_Service] = []
+    services: list[_ServiceTraits] = []
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    # Absent where callers need no keys at all.
-    tenants: list[_Holder] = []
+    # Empty where callers need no API keys.
+    tenants: list[_Tenant] = []
 
 
 class _Backend(msgspec.Struct):
-    service: Text
+    service: NonEmptyText
     address: Annotated[str, msgspec.Meta(pattern=r'^[0-9.]+:[0-9]{1,5}$')]
-    zone: Text
+    zone: NonEmptyText
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: Literal['ready', 'draining']
-    # How much longer it is cold as of when the record was written.
-    cold_remaining_ms: Number = 0
-    # Unix milliseconds of its start; tells two starts under one name apart.
+    # Remaining warm-up time when the record was written.
+    cold_remaining_ms: NonNegativeFloat = 0
+    # Start time in Unix milliseconds; distinguishes two processes that
+    # registered under the same name, one after the other.
     born: int = 0
 
 
-_TABLE = msgspec.json.Decoder(_Table)
-_BACKEND = msgspec.json.Decoder(_Backend)
+_TABLE_DECODER = msgspec.json.Decoder(_Table)
+_BACKEND_DECODER = msgspec.json.Decoder(_Backend)
 
 
 def parse_table(stored: bytes) -> RouteTable:
-    """Return the operators' routes.
+    """Decode the operators' route table.
+
+    Parameters
+    ----------
+    stored
+        The value of ``TABLE_KEY``.
 
     Raises
     ------
     WireError
-        The document does not match.
+        The document is not valid JSON or does not match the schema.
     """
     try:
-        table = _TABLE.decode(stored)
+        table = _TABLE_DECODER.decode(stored)
     except (msgspec.DecodeError, UnicodeError, RecursionError) as error:
         raise WireError(str(error)) from error
     return RouteTable(
@@ -129,9 +144,9 @@
             service.name: _to_traits(service) for service in table.services
         },
         organisations={
-            key: holder.name
-            for holder in table.tenants
-            for key in holder.api_keys
+            key: tenant.name
+            for tenant in table.tenants
+            for key in tenant.api_keys
         },
         limits=CallerLimits(
             table.limits.max_header_bytes,
@@ -142,32 +157,42 @@
 
 
 def parse_backend(name: str, stored: bytes, revision: int = 0) -> BackendRecord:
-    """Return the back end that a record names.
+    """Decode the record with which a back end registers.
+
+    Parameters
+    ----------
+    name
+        Name of the back end, the key without ``BACKENDS_PREFIX``.
+    stored
+        The value of the key.
+    revision
+        Revision of the store that wrote the record.
 
     Raises
     ------
     WireError
-        The record is not one of a back end: others write there too.
+        The value is not a back end's record; other programs write below the
+        same prefix.
     """
     try:
-        found = _BACKEND.decode(stored)
+        record = _BACKEND_DECODER.decode(stored)
     except (msgspec.DecodeError, UnicodeError, RecursionError) as error:
         raise WireError(str(error)) from error
     return BackendRecord(
         name=name,
-        service=found.service,
-        address=found.address,
-        failure_domain=found.zone,
-        slots=found.slots,
-        draining=found.state == 'draining',
-        cold_seconds=found.cold_remaining_ms / _MILLISECONDS,
-        boot=found.born,
+        service=record.service,
+        address=record.address,
+        failure_domain=record.zone,
+        slots=record.slots,
+        draining=record.state == 'draining',
+        cold_seconds=record.cold_remaining_ms / _MILLISECONDS,
+        boot=record.born,
         revision=revision,
     )
 
 
 def _to_route(route: _Route) -> Route:
-    targets = [Target(each.service, each.weight) for each in route.split]
+    targets = [Target(share.service, share.weight) for share in route.split]
     return Route(
         name=route.name,
         host=route.host,
@@ -183,7 +208,7 @@
     )
 
 
-def _to_traits(service: _Service) -> ServiceTraits:
+def _to_traits(service: _ServiceTraits) -> ServiceTraits:
     engine = service.engine
     traits = engine and EngineTraits(
         slots=engine.slots,
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""What operators and back ends write, decoded."""
+"""Decoding of the documents that operators and back ends write."""
 
 import json
 import unittest
@@ -54,7 +54,7 @@
     'limits': {'max_header_bytes': 100, 'max_body_bytes': 200},
     'tenants': [{'name': 'o1', 'api_keys': ['k1', 'k2'], 'priority': 1}],
 }
-RECORD = {
+BACKEND_RECORD = {
     'service': 's1',
     'address': '10.0.0.1:80',
     'zone': 'd1',
@@ -66,34 +66,36 @@
 
 
 class TableTest(unittest.TestCase):
-    """The operators' routes."""
+    """Decoding of the operators' route table."""
 
     def test_fields(self):
         table = parse_table(json.dumps(TABLE).encode())
-        stream, lookup = table.routes
-        self.assertEqual(RouteKind.streaming, stream.kind)
-        self.assertEqual((39, 1.8), (stream.timeout, stream.objective))
+        stream_route, plain_route = table.routes
+        self.assertEqual(RouteKind.streaming, stream_route.kind)
         self.assertEqual(
-            ['s1', 's2'], [each.service for each in stream.targets]
+            (39, 1.8), (stream_route.timeout, stream_route.objective)
         )
-        self.assertTrue(lookup.repeatable and lookup.anonymous)
+        self.assertEqual(
+            ['s1', 's2'], [each.service for each in stream_route.targets]
+        )
+        self.assertTrue(plain_route.repeatable and plain_route.anonymous)
         self.assertEqual({'k1': 'o1', 'k2': 'o1'}, table.organisations)
         self.assertEqual(4, table.services['s1'].engine.event_tokens)
         self.assertIsNone(table.services['s2'].engine)
         self.assertEqual(200, table.limits.body_bytes)
 
-    def test_faults_name_their_place(self):
-        broken = json.loads(json.dumps(TABLE))
-        broken['routes'][1]['timeout_ms'] = 'soon'
+    def test_error_names_the_invalid_field(self):
+        invalid_table = json.loads(json.dumps(TABLE))
+        invalid_table['routes'][1]['timeout_ms'] = 'soon'
         with self.assertRaisesRegex(WireError, r'routes\[.*\]\.timeout_ms'):
-            parse_table(json.dumps(broken).encode())
+            parse_table(json.dumps(invalid_table).encode())
 
 
 class BackendTest(unittest.TestCase):
-    """Records of back ends, and what others write beside them."""
+    """Decoding of back ends' records and of other values beside them."""
 
     def test_fields(self):
-        record = parse_backend('i-1', json.dumps(RECORD).encode())
+        record = parse_backend('i-1', json.dumps(BACKEND_RECORD).encode())
         self.assertEqual(
             ('i-1', 's1', 'd1'),
             (record.name, record.service, record.failure_domain),
@@ -101,8 +103,8 @@
         self.assertEqual(1.5, record.cold_seconds)
         self.assertFalse(record.draining)
 
-    def test_missing_and_wrong_fields(self):
-        wrong = {
+    def test_missing_and_invalid_fields(self):
+        invalid_values = {
             'service': 4,
             'address': 'nowhere',
             'zone': None,
@@ -110,18 +112,24 @@
             'state': 'asleep',
             'born': '2026',
         }
-        for name, value in wrong.items():
+        for name, value in invalid_values.items():
             with self.subTest(name), self.assertRaises(WireError):
-                parse_backend('i', json.dumps({**RECORD, name: value}).encode())
+                parse_backend(
+                    'i', json.dumps({**BACKEND_RECORD, name: value}).encode()
+                )
         for name in ('service', 'address', 'zone', 'slots', 'state'):
-            kept = {key: RECORD[key] for key in RECORD if key != name}
+            incomplete = {
+                key: BACKEND_RECORD[key]
+                for key in BACKEND_RECORD
+                if key != name
+            }
             with self.subTest(name), self.assertRaises(WireError):
-                parse_backend('i', json.dumps(kept).encode())
+                parse_backend('i', json.dumps(incomplete).encode())
 
     @settings(derandomize=True)
     @given(st.binary(max_size=60))
-    def test_any_bytes(self, stored):
-        """Another writer's bytes stand among the records."""
+    def test_arbitrary_bytes(self, stored):
+        """Other programs write bytes of any kind below the records' prefix."""
         with self.assertRaises(WireError):
             parse_backend('i', stored)
         with self.assertRaises(WireError):
