--- a/primrosewood/platform/store.py
+++ b/primrosewood/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service behind the package's interface."""
+"""Client for the platform's key-value service."""
 
 import asyncio
 import base64
@@ -21,22 +21,28 @@
 __all__ = ('PlatformStore',)
 
 _MILLISECONDS = 1000
-# Watches are answered when something changes.  One that was cut without a
-# reset answers never; the polls beside it cover the time until this is over.
-_WATCH_MS = 10_000
+# The service holds a watch request until something changes, at most this long.
+# A watch whose connection was cut without a reset never gets a response; until
+# this timeout shows it, the periodic reads find the changes.
+_WATCH_WAIT_MS = 10_000
 _WATCH_SLACK_SECONDS = 2.0
-# The shortest wait that the service knows: what changed is returned at once.
-_NO_WAIT_MS = 1
-# An answer that keeps coming may take this many times as long as one may be
-# silent: a page of 1 MB takes 1.1 s on a line of 10 Mbit/s, and callers'
-# traffic has its share of that.
-_LONGEST_ANSWER = 5
-
-_UNANSWERED = (BackendCutError, aiohttp.ClientError, TimeoutError, OSError)
+# The shortest wait that the service accepts; it returns known changes at once.
+_MINIMUM_WAIT_MS = 1
+# A response that keeps arriving may take this many times as long as the service
+# may be silent: a page of 1 MB takes 1.1 s on a link of 10 Mbit/s, which is
+# shared with callers' traffic.
+_MAX_RESPONSE_FACTOR = 5
+
+_CONNECTION_ERRORS = (
+    BackendCutError,
+    aiohttp.ClientError,
+    TimeoutError,
+    OSError,
+)
 
 
-class _Item(msgspec.Struct):
-    """A key with its value, or a deletion."""
+class _KeyItem(msgspec.Struct):
+    """A key with its value in base64, or a deletion."""
 
     key: str
     revision: int
@@ -45,46 +51,46 @@
     removed: bool = False
 
 
-class _Items(msgspec.Struct):
-    """A page of keys."""
+class _KeyPage(msgspec.Struct):
+    """One page of a listing."""
 
     store_revision: int
-    items: list[_Item] = []
+    items: list[_KeyItem] = []
     has_more: bool = False
 
 
-class _Events(msgspec.Struct):
-    """What a watch saw."""
+class _WatchEvents(msgspec.Struct):
+    """Changes that a watch request returned."""
 
     store_revision: int
-    events: list[_Item] = []
+    events: list[_KeyItem] = []
 
 
-class _Written(msgspec.Struct):
-    """Answer to a write that took effect."""
+class _WriteResult(msgspec.Struct):
+    """Response to a write that took effect."""
 
     revision: int
 
 
-class _Lease(msgspec.Struct):
-    """A granted lease."""
+class _GrantedLease(msgspec.Struct):
+    """Response to a request for a lease."""
 
     lease: int
 
 
 class PlatformStore(KeyValue):
-    """The service over HTTP.
+    """The key-value service over HTTP.
 
     Parameters
     ----------
     address
-        ``host:port``.
+        Address of the service as ``host:port``.
     timeout
-        Seconds of silence after which a call counts as unanswered.
+        Seconds without a byte of the response after which a request fails.
     """
 
     def __init__(self, address: str, timeout: float) -> None:
-        """Connect on the first call."""
+        """Open no session before the first request."""
         self._url = f'http://{address}'
         self._timeout = timeout
         self._lazy_session: aiohttp.ClientSession | None = None
@@ -96,10 +102,10 @@
 
     async def fetch(self, key: str) -> Pair | None:
         """Return the pair of a key, None when absent."""
-        status, body = await self._call('GET', '/kv-key', {'key': key})
+        status, body = await self._send_request('GET', '/kv-key', {'key': key})
         if status == HTTPStatus.NOT_FOUND:
             return None
-        return _to_pair(_decode(status, body, _Item))
+        return _to_pair(_decode(status, body, _KeyItem))
 
     async def list_pairs(self, prefix: str, since: int = 0) -> list[Pair]:
         """Return pairs below a prefix, written at ``since`` or later."""
@@ -112,97 +118,101 @@
         query = {'path_prefix': prefix}
         revision = 0
         while True:
-            answer = await self._call('GET', '/kv-range', query)
-            page = _decode(*answer, _Items)
-            # Pages are read one after the other; what changes meanwhile shows
-            # in a watch from the first page's revision on.
+            answer = await self._send_request('GET', '/kv-range', query)
+            page = _decode(*answer, _KeyPage)
+            # Keys may change while the pages are read.  The listing therefore
+            # has the first page's revision: a watch from there reports them.
             revision = revision or page.store_revision
-            pairs += [_to_pair(found) for found in page.items]
+            pairs += [_to_pair(key_item) for key_item in page.items]
             if not page.has_more or not page.items:
                 return Listing(pairs, revision)
             query['after'] = page.items[-1].key
 
     async def list_changes(self, prefix: str, known: int) -> Changes:
-        """Return at once what changed below a prefix after a revision."""
+        """Return changes below a prefix after a revision, without waiting."""
         query = {
             'path_prefix': prefix,
             'after': str(known),
-            'wait_ms': str(_NO_WAIT_MS),
+            'wait_ms': str(_MINIMUM_WAIT_MS),
         }
-        seen = _decode_events(await self._call('GET', '/kv-watch', query))
-        changes = [_to_change(event) for event in seen.events]
-        return Changes(changes, seen.store_revision)
+        watched = _decode_events(
+            await self._send_request('GET', '/kv-watch', query)
+        )
+        changes = [_to_change(event) for event in watched.events]
+        return Changes(changes, watched.store_revision)
 
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
     ) -> Swap:
-        """Write when the key's revision is ``expected`` (0 for absent)."""
+        """Write a key if its revision is ``expected`` (0 for absent)."""
         status, body = await self._write(
             key, stored, lease, [{'key': key, 'revision': expected}]
         )
         if status == HTTPStatus.PRECONDITION_FAILED:
-            found = msgspec.json.decode(body).get('items', ())
-            items = msgspec.convert(found, list[_Item])
+            conflicting = msgspec.json.decode(body).get('items', ())
+            items = msgspec.convert(conflicting, list[_KeyItem])
             current = next((each for each in items if each.revision), None)
             return Swap(False, current=_to_pair(current) if current else None)
-        return Swap(True, _decode(status, body, _Written).revision)
+        return Swap(True, _decode(status, body, _WriteResult).revision)
 
     async def put(self, key: str, stored: bytes, lease: int = 0) -> int:
-        """Write whatever stands there and return the revision."""
+        """Write a key unconditionally and return the revision."""
         answer = await self._write(key, stored, lease, [])
-        return _decode(*answer, _Written).revision
+        return _decode(*answer, _WriteResult).revision
 
     async def grant(self, seconds: int) -> int:
         """Return a new lease."""
         body = {'ttl_ms': seconds * _MILLISECONDS}
-        answer = await self._call('POST', '/kv-lease', json=body)
-        return _decode(*answer, _Lease).lease
+        answer = await self._send_request('POST', '/kv-lease', json=body)
+        return _decode(*answer, _GrantedLease).lease
 
     async def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; False when it has lapsed."""
-        status, _body = await self._call('POST', f'/kv-keep/{lease}')
+        """Renew a lease; return False if it has expired."""
+        status, _body = await self._send_request('POST', f'/kv-keep/{lease}')
         if status == HTTPStatus.NOT_FOUND:
             return False
         _require_ok(status)
         return True
 
     async def revoke(self, lease: int) -> None:
-        """End a lease and delete what was written under it."""
-        status, _body = await self._call('DELETE', f'/kv-lease-end/{lease}')
+        """End a lease and delete the keys written under it."""
+        status, _body = await self._send_request(
+            'DELETE', f'/kv-lease-end/{lease}'
+        )
         if status != HTTPStatus.NOT_FOUND:
             _require_ok(status)
 
     async def watch(self, prefix: str, since: int) -> AsyncIterator[Change]:
         """Yield changes below a prefix from a revision on, until cut off."""
-        # The service names the last revision that is known, not the first
-        # that is wanted.
+        # The service expects the last known revision, not the first one to
+        # return.
         query = {
             'path_prefix': prefix,
             'after': str(max(0, since - 1)),
-            'wait_ms': str(_WATCH_MS),
+            'wait_ms': str(_WATCH_WAIT_MS),
         }
-        patience = _WATCH_MS / _MILLISECONDS + _WATCH_SLACK_SECONDS
+        silence_seconds = _WATCH_WAIT_MS / _MILLISECONDS + _WATCH_SLACK_SECONDS
         while True:
-            answer = await self._call(
-                'GET', '/kv-watch', query, seconds=patience
+            answer = await self._send_request(
+                'GET', '/kv-watch', query, seconds=silence_seconds
             )
-            seen = _decode_events(answer)
-            for event in seen.events:
+            watched = _decode_events(answer)
+            for event in watched.events:
                 yield _to_change(event)
-            query['after'] = str(seen.store_revision)
+            query['after'] = str(watched.store_revision)
 
     async def _write(
         self, key: str, stored: bytes, lease: int, expected: list[Any]
     ) -> tuple[int, bytes]:
-        written = {
+        new_item = {
             'key': key,
             'value': base64.b64encode(stored).decode(),
             'lease': lease,
         }
-        body = {'expected': expected, 'puts': [written], 'remove': []}
-        return await self._call('POST', '/kv-txn', json=body)
+        body = {'expected': expected, 'puts': [new_item], 'remove': []}
+        return await self._send_request('POST', '/kv-txn', json=body)
 
-    async def _call(
+    async def _send_request(
         self,
         method: str,
         path: str,
@@ -210,20 +220,22 @@
         json: Any = None,
         seconds: float = 0,
     ) -> tuple[int, bytes]:
-        patience = seconds or self._timeout
+        silence_seconds = seconds or self._timeout
         try:
             async with (
-                asyncio.timeout(patience * _LONGEST_ANSWER),
-                asyncio.timeout(patience) as silence,
-                self._session().request(
+                asyncio.timeout(silence_seconds * _MAX_RESPONSE_FACTOR),
+                asyncio.timeout(silence_seconds) as silence_timer,
+                self._get_session().request(
                     method, f'{self._url}{path}', params=query, json=json
                 ) as response,
             ):
-                return response.status, await _read(response, silence, patience)
-        except _UNANSWERED as error:
+                return response.status, await _read_body(
+                    response, silence_timer, silence_seconds
+                )
+        except _CONNECTION_ERRORS as error:
             raise StoreUnavailableError(type(error).__name__) from error
 
-    def _session(self) -> aiohttp.ClientSession:
+    def _get_session(self) -> aiohttp.ClientSession:
         if self._lazy_session is None:
             self._lazy_session = aiohttp.ClientSession(
                 timeout=aiohttp.ClientTimeout(total=None),
@@ -232,18 +244,22 @@
         return self._lazy_session
 
 
-async def _read(
-    response: aiohttp.ClientResponse, silence: asyncio.Timeout, patience: float
+async def _read_body(
+    response: aiohttp.ClientResponse,
+    silence_timer: asyncio.Timeout,
+    silence_seconds: float,
 ) -> bytes:
-    """Return a body; each part of it gives the next one as much time.
+    """Return a response's body, restarting the timer with each part of it.
 
-    All routes of a large deployment take longer over a thin line than the
+    The routes of a large deployment take longer over a slow link than the
     service may be silent.
     """
     parts = []
     async for part in response.content.iter_any():
         parts.append(part)
-        silence.reschedule(asyncio.get_running_loop().time() + patience)
+        silence_timer.reschedule(
+            asyncio.get_running_loop().time() + silence_seconds
+        )
     return b''.join(parts)
 
 
@@ -255,11 +271,11 @@
         raise StoreUnavailableError(str(error)) from error
 
 
-def _decode_events(answer: tuple[int, bytes]) -> _Events:
+def _decode_events(answer: tuple[int, bytes]) -> _WatchEvents:
     status, body = answer
     if status == HTTPStatus.GONE:
         raise HistoryLostError('the history is gone')
-    return _decode(status, body, _Events)
+    return _decode(status, body, _WatchEvents)
 
 
 def _require_ok(status: int) -> None:
@@ -267,15 +283,16 @@
         raise StoreUnavailableError(f'status {status}')
 
 
-def _to_pair(found: _Item) -> Pair:
+def _to_pair(key_item: _KeyItem) -> Pair:
     try:
-        stored = base64.b64decode(found.value, validate=True)
+        stored = base64.b64decode(key_item.value, validate=True)
     except binascii.Error:
-        # Whoever reads the value finds that it is no document.
+        # An empty value fails to decode as a document, which is reported by
+        # the code that uses the key.
         stored = b''
-    return Pair(found.key, stored, found.revision)
+    return Pair(key_item.key, stored, key_item.revision)
 
 
-def _to_change(event: _Item) -> Change:
+def _to_change(event: _KeyItem) -> Change:
     pair = None if event.removed else _to_pair(event)
     return Change(event.key, event.revision, pair)
