--- a/primrosewood/platform/endpoint.py
+++ b/primrosewood/platform/endpoint.py
@@ -1,4 +1,4 @@
-"""The process beside a model engine on the platform."""
+"""The endpoint process, which runs next to a model engine on each VM."""
 
 import asyncio
 
@@ -18,28 +18,33 @@
 
 __all__ = ('EndpointNode',)
 
-# Left of the time until SIGKILL to close what is open.
-_CLOSE_SECONDS = 0.25
-# Of what is left, for the last part of one copy and the word of where it is.
-_LAST_MOVE_SECONDS = 0.5
-_TICK_SECONDS = 0.05
-# Entries hear of a new engine within this time while the key-value service,
-# where it would register, is away.
-_ANNOUNCE_SECONDS = 0.5
+# Part of the time until SIGKILL that is kept free to close connections.
+_CLOSE_RESERVE_SECONDS = 0.25
+# Kept free before that to finish one copy and to report its location.
+_LAST_MOVE_RESERVE_SECONDS = 0.5
+_POLL_INTERVAL_SECONDS = 0.05
+# An engine cannot register while the key-value service is down; entries learn
+# of it from these announcements instead.
+_ANNOUNCE_INTERVAL_SECONDS = 0.5
 
 
 class EndpointNode:
-    """Ties the engine, its keeper and the links of entries together."""
+    """Reports the engine's state to entries and moves its streams on shutdown.
+
+    Streams are moved to other engines when this engine is about to leave.
+    """
 
     def __init__(self, settings: NodeSettings) -> None:
-        """Prepare; nothing is opened yet."""
+        """Wire the components together; ``run`` opens the connections."""
         self._settings = settings
         self._stop_seconds = settings.limits.stop_seconds
         self._metrics = Metrics()
         self._engine = HttpMovableEngine(settings.endpoint.engine)
-        place = EnginePlace(settings.endpoint.service, settings.failure_domain)
+        location = EnginePlace(
+            settings.endpoint.service, settings.failure_domain
+        )
         self._keeper = EngineKeeper(
-            self._engine, place, SystemClock(), self._metrics, make_random()
+            self._engine, location, SystemClock(), self._metrics, make_random()
         )
         self._server = PeerServer(
             settings.link_key,
@@ -49,7 +54,7 @@
         self._keeper.server = self._server
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Follow the engine until asked to stop."""
+        """Serve entries until ``stop`` is set, then drain."""
         settings = self._settings
         self._metrics.watch('entries', lambda: self._server.peers)
         async with self._server.listen(settings.host, settings.link_port):
@@ -59,77 +64,81 @@
                     self._metrics, settings.host, settings.metrics_port
                 )
             try:
-                await self._follow_engine(stop)
+                await self._run_until_stopped(stop)
             finally:
                 if runner is not None:
                     await runner.cleanup()
                 await self._engine.close()
 
     def reload(self, settings: NodeSettings) -> None:
-        """Take on the limits of changed settings."""
+        """Apply the limits of reloaded settings."""
         self._stop_seconds = settings.limits.stop_seconds
 
-    async def _follow_engine(self, stop: asyncio.Event) -> None:
-        keeping = spawn(self._keeper.run(), 'keeper')
-        naming = spawn(self._keeper.run_naming(), 'engine name')
-        announcing = spawn(self._announce(), 'announcements')
+    async def _run_until_stopped(self, stop: asyncio.Event) -> None:
+        keeper_task = spawn(self._keeper.run(), 'keeper')
+        identification_task = spawn(self._keeper.run_naming(), 'engine name')
+        announcement_task = spawn(self._run_announcements(), 'announcements')
         try:
             await stop.wait()
             log_event('leaving', entries=self._server.peers)
-            await self._finish()
+            await self._drain()
         finally:
-            for task in (naming, announcing, keeping):
+            for task in (identification_task, announcement_task, keeper_task):
                 task.cancel()
 
-    async def _announce(self) -> None:
-        """Tell the engine to entries that may not know it."""
+    async def _run_announcements(self) -> None:
+        """Announce the engine to the seed entries until cancelled."""
         settings = self._settings
         identity = LinkIdentity(
             settings.name, make_identifier(), settings.link_key
         )
         links = [
-            PeerLink(f'ws://{seed}', identity, SystemClock(), _ignore)
+            PeerLink(f'ws://{seed}', identity, SystemClock(), _ignore_message)
             for seed in settings.seeds
         ]
         try:
-            await self._send_found(links)
+            await self._send_announcements(links)
         finally:
             for link in links:
                 link.stop()
 
-    async def _send_found(self, links: list[PeerLink]) -> None:
+    async def _send_announcements(self, links: list[PeerLink]) -> None:
         while True:
-            # At once when it has started, and again for entries that start.
-            await self._keeper.wait_named(_ANNOUNCE_SECONDS)
-            found = self._keeper.found
+            # At once when the engine has started, and again at intervals for
+            # entries that start later.
+            await self._keeper.wait_named(_ANNOUNCE_INTERVAL_SECONDS)
+            announcement = self._keeper.found
             for link in links:
-                if found is not None:
-                    link.send(found)
+                if announcement is not None:
+                    link.send(announcement)
 
-    async def _finish(self) -> None:
-        """Stay until the engine has gone, as far as the platform lets us.
+    async def _drain(self) -> None:
+        """Keep moving streams until none is left or the stop time is over.
 
-        The VM is taken away together with its engine; a process that ended at
-        once would leave the streams there to nobody.
+        The platform takes the VM away together with its engine.  If this
+        process ended at once, nothing would move the streams that still run.
         """
-        seconds = self._stop_seconds - _CLOSE_SECONDS
+        drain_seconds = self._stop_seconds - _CLOSE_RESERVE_SECONDS
         try:
-            async with asyncio.timeout(seconds):
-                await self._await_end(seconds - _LAST_MOVE_SECONDS)
+            async with asyncio.timeout(drain_seconds):
+                await self._wait_for_moves(
+                    drain_seconds - _LAST_MOVE_RESERVE_SECONDS
+                )
         except TimeoutError:
             log_event('stopped_in_a_move', 'ERROR')
 
-    async def _await_end(self, seconds: float) -> None:
+    async def _wait_for_moves(self, seconds: float) -> None:
+        """Wait until no stream is left; begin no move after ``seconds``."""
         try:
             async with asyncio.timeout(seconds):
                 while self._keeper.needed:
-                    await asyncio.sleep(_TICK_SECONDS)
+                    await asyncio.sleep(_POLL_INTERVAL_SECONDS)
         except TimeoutError:
             log_event('stopped_with_work_left', 'ERROR')
         self._keeper.stop_moves()
         while self._keeper.moving:
-            await asyncio.sleep(_TICK_SECONDS)
+            await asyncio.sleep(_POLL_INTERVAL_SECONDS)
 
 
-def _ignore(_message: Message, _link: Link) -> None:
-    """Do nothing with what an entry says on this link."""
+def _ignore_message(_message: Message, _link: Link) -> None:
+    """Discard what an entry sends on a link that only carries announcements."""
