--- a/primrosewood/platform/__init__.py
+++ b/primrosewood/platform/__init__.py
@@ -1,7 +1,8 @@
-"""Runs the system on the users' platform.
+"""The adapter to the users' platform.
 
-Everything that knows the platform's names is in this folder: its key-value
-service (``store``), what operators and engines write there (``documents``),
-headers (``headers``), callers' HTTP (``front``) and calls to back ends
-(``engines``).  Decisions, state and recovery are the package's.
+Only this package depends on the platform's names and formats: its key-value
+service (``store``), the documents that operators and back ends write there
+(``documents``, ``discovery``), its headers (``headers``), its callers' HTTP
+requests (``frontend``) and HTTP calls to back ends (``engines``).  Decisions,
+state and recovery are in the parent package.
 """
--- a/primrosewood/platform/__main__.py
+++ b/primrosewood/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one of the system's programs as the platform does."""
+"""Command line of the entry and endpoint processes on the platform."""
 
 import os
 import sys
@@ -7,24 +7,34 @@
 
 __all__ = ('main',)
 
-_SETTINGS_VARIABLE = 'PRIMROSEWOOD_NODE_FILE'
+_SETTINGS_FILE_VARIABLE = 'PRIMROSEWOOD_NODE_FILE'
 _USAGE = 'usage: python -m primrosewood.platform entry|endpoint\n'
-_INVALID = 2
+_USAGE_ERROR = 2
 
 
 def main(role: str) -> None:
-    """Run a role with the settings file that the environment names."""
-    # Each program imports only what it uses: memory is paid for.
+    """Run one process until it is stopped.
+
+    The environment variable ``PRIMROSEWOOD_NODE_FILE`` names its settings
+    file.
+
+    Parameters
+    ----------
+    role
+        ``entry`` or ``endpoint``.
+    """
+    # Each process imports only the modules of its role, as the platform
+    # charges for memory.
     if role == 'entry':
         from .entry import EntryNode as Node  # noqa: WPS433
     else:
         from .endpoint import EndpointNode as Node  # noqa: WPS433
-    path = os.environ.get(_SETTINGS_VARIABLE, '')
-    run_node(path, role, Node)
+    settings_path = os.environ.get(_SETTINGS_FILE_VARIABLE, '')
+    run_node(settings_path, role, Node)
 
 
 if __name__ == '__main__':
     if len(sys.argv) != 2 or sys.argv[1] not in {'entry', 'endpoint'}:
         sys.stderr.write(_USAGE)
-        sys.exit(_INVALID)
+        sys.exit(_USAGE_ERROR)
     main(sys.argv[1])
--- a/primrosewood/platform/beliefs.py
+++ b/primrosewood/platform/discovery.py
@@ -1,4 +1,8 @@
-"""Turns what the key-value service holds into an entry's beliefs."""
+"""Keeps an entry's routes and back ends up to date from the key-value service.
+
+Operators write the routes and evacuations of failure domains there, back ends
+register there.
+"""
 
 from collections.abc import Callable
 
@@ -10,16 +14,22 @@
 from ..routes import TableHolder
 from . import documents
 
-__all__ = ('Beliefs',)
+__all__ = ('Discovery',)
 
 
-class Beliefs:
-    """Takes keys as they change.
+class Discovery:
+    """Applies changed keys to an entry's routes and back ends.
 
     Parameters
     ----------
-    changed
-        Called when back ends or routes changed.
+    tables
+        Receives each new version of the operators' routes.
+    backends
+        Receives registrations of back ends and evacuations of failure domains.
+    clock
+        Dates registrations and removals.
+    on_change
+        Called after routes or back ends have changed.
     """
 
     def __init__(
@@ -27,43 +37,47 @@
         tables: TableHolder,
         backends: BackendSet,
         clock: Clock,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
-        """Start without beliefs."""
+        """Start without routes and back ends."""
         self._tables = tables
         self._backends = backends
         self._clock = clock
-        self._changed = changed
-        self._answered: bool | None = None
+        self._on_change = on_change
+        self._store_available: bool | None = None
 
     def take_pair(self, key: str, pair: Pair | None) -> None:
-        """Take a key's new value, None for a deletion."""
+        """Apply a key's new value, None for a deletion.
+
+        Keys that no entry uses are ignored.
+        """
         if key == documents.TABLE_KEY:
-            self._take_table(pair)
+            self._apply_table(pair)
         elif key.startswith(documents.EVACUATED_PREFIX):
-            self._take_evacuation(key, pair)
+            self._apply_evacuation(key, pair)
         elif key.startswith(documents.BACKENDS_PREFIX):
             name = key.removeprefix(documents.BACKENDS_PREFIX)
-            self._take_backend(name, pair)
+            self._apply_backend(name, pair)
 
-    def note_store(self, answered: bool) -> None:
-        """Note whether the service answered."""
-        self._backends.note_store(answered, self._clock.monotonic())
-        if answered != self._answered:
-            self._answered = answered
-            log_event('store_regained' if answered else 'store_lost')
+    def note_store(self, available: bool) -> None:
+        """Record whether the key-value service answered the last call."""
+        self._backends.note_store(available, self._clock.monotonic())
+        if available != self._store_available:
+            self._store_available = available
+            log_event('store_regained' if available else 'store_lost')
 
     def settle(self) -> None:
-        """Drop back ends whose records did not come back."""
-        gone = self._backends.settle(self._clock.monotonic())
-        for name in gone:
+        """Remove back ends that have not registered again after an outage."""
+        removed = self._backends.settle(self._clock.monotonic())
+        for name in removed:
             log_decision('endpoint_out', endpoint=name, why='not back')
-        if gone:
-            self._changed()
+        if removed:
+            self._on_change()
 
-    def _take_table(self, pair: Pair | None) -> None:
+    def _apply_table(self, pair: Pair | None) -> None:
         if pair is None:
-            # Operators never delete it; without it nothing could be served.
+            # Operators replace the table and never delete it.  The last one
+            # stays in force, as no request could be served without routes.
             log_event('table_deleted', 'WARNING')
             return
         try:
@@ -78,9 +92,9 @@
                 revision=pair.revision,
                 routes=len(table.routes),
             )
-            self._changed()
+            self._on_change()
 
-    def _take_evacuation(self, key: str, pair: Pair | None) -> None:
+    def _apply_evacuation(self, key: str, pair: Pair | None) -> None:
         domain = key.removeprefix(documents.EVACUATED_PREFIX)
         if pair is None:
             if self._backends.let_in(domain, self._clock.monotonic()):
@@ -92,16 +106,18 @@
                 revision=pair.revision,
             )
 
-    def _take_backend(self, name: str, pair: Pair | None) -> None:
+    def _apply_backend(self, name: str, pair: Pair | None) -> None:
         now = self._clock.monotonic()
         if pair is None:
-            at_once = self._backends.remove(name, now)
+            # During an outage a record may have lapsed while its back end
+            # still serves.
+            removed = self._backends.remove(name, now)
             log_decision(
-                'endpoint_out' if at_once else 'endpoint_missing',
+                'endpoint_out' if removed else 'endpoint_missing',
                 endpoint=name,
                 why='removed',
             )
-            self._changed()
+            self._on_change()
             return
         try:
             record = documents.parse_backend(name, pair.stored, pair.revision)
@@ -109,10 +125,10 @@
             log_event('record_refused', 'WARNING', endpoint=name, why=error)
             self._backends.remove(name, now)
             return
-        known = self._backends.find(name)
-        if known is None or known.record != record:
+        registered = self._backends.find(name)
+        if registered is None or registered.record != record:
             log_decision(
-                'endpoint_in' if known is None else 'endpoint_changed',
+                'endpoint_in' if registered is None else 'endpoint_changed',
                 endpoint=name,
                 service=record.service,
                 address=record.address,
@@ -122,4 +138,4 @@
                 cold=record.cold_seconds or None,
             )
         self._backends.take(record, now)
-        self._changed()
+        self._on_change()
--- a/primrosewood/platform/engines.py
+++ b/primrosewood/platform/engines.py
@@ -1,4 +1,4 @@
-"""Calls to back ends over HTTP, each on a connection of its own."""
+"""HTTP clients for calls to back ends and for the engine on the same VM."""
 
 import asyncio
 import functools
@@ -26,73 +26,75 @@
 
 _SCHEME = 'http://'
 _MILLISECONDS = 1000
-# Back ends are a few milliseconds away.  One that does not even connect in
-# this time is gone or cut off, and nothing of the call has been written.
-_CONNECT_SECONDS = 0.3
-_REPORT_SECONDS = 0.5
-_MOVE_SECONDS = 2.0
-_LONGEST_HEAD = 65536
-# Promises that a call did not run; a back end that makes one without its mark
-# may have run it all the same.
-_PROMISES = frozenset(
+# Back ends are a few milliseconds away.  If no connection is established in
+# this time, the back end is down or unreachable; no byte of the call has been
+# written by then.
+_CONNECT_TIMEOUT_SECONDS = 0.3
+_REPORT_TIMEOUT_SECONDS = 0.5
+_MOVE_TIMEOUT_SECONDS = 2.0
+_MAX_HEADER_LINE_BYTES = 65536
+# Statuses that usually mean the call did not run.  It may have run all the same
+# unless the response also has the ``NOT_EXECUTED`` header.
+_NOT_EXECUTED_STATUSES = frozenset(
     (
         HTTPStatus.REQUEST_TIMEOUT,
         HTTPStatus.TOO_MANY_REQUESTS,
         HTTPStatus.SERVICE_UNAVAILABLE,
     )
 )
-_SUCCESSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
-# Added by the HTTP library where a caller sent none.
-_AUTOMATIC = ('Accept', 'Accept-Encoding', 'Content-Type', 'User-Agent')
+_SUCCESS_STATUSES = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
+# aiohttp adds these headers where a caller sent none.
+_LIBRARY_HEADERS = ('Accept', 'Accept-Encoding', 'Content-Type', 'User-Agent')
 
 
-class _Connection(ResponseHandler):
-    """Remembers how the connection ended.
+class _ResetTrackingHandler(ResponseHandler):
+    """Records whether the connection was reset.
 
-    The HTTP library takes the end of a connection for the end of an answer
-    without a length, also when the connection was reset: half an answer would
-    pass as a whole one.
+    aiohttp takes the end of the connection for the end of a response without
+    a length, even after a reset.  A truncated response would then pass as
+    complete.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Start unbroken."""
+        """Start with a connection that was not reset."""
         super().__init__(loop=loop)
-        self.broken = False
+        self.was_reset = False
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Note whether the connection was reset."""
-        self.broken = exc is not None
+        """Record whether the connection was reset."""
+        self.was_reset = exc is not None
         super().connection_lost(exc)
 
 
 def _make_session() -> aiohttp.ClientSession:
-    # A kept connection may be closed by the back end in the moment a call is
-    # written to it, and may still hold the late answer of an earlier call; a
-    # new one costs a millisecond.
+    # No keep-alive: the back end may close an idle connection just as a call is
+    # written to it, or the connection may deliver a late response to an earlier
+    # call.  A new connection costs a millisecond.
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
     connector._factory = functools.partial(  # noqa: SLF001, WPS437
-        _Connection, loop=asyncio.get_running_loop()
+        _ResetTrackingHandler, loop=asyncio.get_running_loop()
     )
     return aiohttp.ClientSession(
         connector=connector,
         cookie_jar=aiohttp.DummyCookieJar(),
         timeout=aiohttp.ClientTimeout(
-            total=None, sock_connect=_CONNECT_SECONDS
+            total=None, sock_connect=_CONNECT_TIMEOUT_SECONDS
         ),
         auto_decompress=False,
-        skip_auto_headers=_AUTOMATIC,
+        skip_auto_headers=_LIBRARY_HEADERS,
         middlewares=(never_repeat,),
-        max_line_size=_LONGEST_HEAD,
-        max_field_size=_LONGEST_HEAD,
+        max_line_size=_MAX_HEADER_LINE_BYTES,
+        max_field_size=_MAX_HEADER_LINE_BYTES,
     )
 
 
-class _Reply:
-    """A back end's answer whose head has come."""
+class _BackendResponse:
+    """A back end's response, of which the status and headers have arrived."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self._response = response
-        self._connection = response.connection and response.connection.protocol
+        # aiohttp forgets the connection when the body has been read.
+        self._protocol = response.connection and response.connection.protocol
 
     @property
     def status(self) -> int:
@@ -101,38 +103,49 @@
 
     @property
     def headers(self) -> tuple[Header, ...]:
-        """Headers that the caller gets."""
-        return headers.drop_hop_headers(_decode(self._response.raw_headers))
+        """End-to-end headers, which are forwarded to the caller."""
+        return headers.drop_hop_by_hop_headers(
+            _decode_headers(self._response.raw_headers)
+        )
 
     async def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes."""
+        """Yield the body as it arrives.
+
+        Raises
+        ------
+        BackendCutError
+            The connection failed before the body was complete.
+        """
         try:
             async for part in self._response.content.iter_any():
                 yield part
         except (aiohttp.ClientError, OSError) as error:
             raise BackendCutError(type(error).__name__) from error
-        if getattr(self._connection, 'broken', False):
+        if getattr(self._protocol, 'was_reset', False):
             raise BackendCutError('the answer was reset')
 
 
 class HttpTransport:
-    """Carries direct calls to back ends.
+    """Sends calls to back ends, each over a new connection.
 
     Parameters
     ----------
-    note_limit
-        Called with a back end, the calls a second that its answer names (None
-        for no limit), and when that call was sent.
+    clock
+        Its monotonic time is what the deadlines of calls refer to.
+    on_rate_limit
+        Called with a back end, the rate limit in its response (calls per
+        second, None for no limit), and the monotonic time at which the call
+        was sent.
     """
 
     def __init__(
         self,
         clock: Clock,
-        note_limit: Callable[[Backend, float | None, float], None],
+        on_rate_limit: Callable[[Backend, float | None, float], None],
     ) -> None:
-        """Connect with the first call."""
+        """Open no session before the first call."""
         self._clock = clock
-        self._note_limit = note_limit
+        self._on_rate_limit = on_rate_limit
         self._lazy_session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
@@ -141,8 +154,21 @@
             await self._lazy_session.close()
 
     @asynccontextmanager
-    async def send(self, call: DirectCall, leg: Leg) -> AsyncIterator[_Reply]:
-        """Send a call; leaving the context ends what is still running."""
+    async def send(
+        self, call: DirectCall, leg: Leg
+    ) -> AsyncIterator[_BackendResponse]:
+        """Send a call to a back end and yield its response.
+
+        Leaving the context aborts a response that is still arriving.
+
+        Raises
+        ------
+        NotRunError
+            The call was not written, or the back end says it did not run.
+        BackendCutError
+            The connection failed, or the response is not a valid one to this
+            call.
+        """
         if self._lazy_session is None:
             self._lazy_session = _make_session()
         origin = _SCHEME + leg.backend.record.address
@@ -151,92 +177,107 @@
             async with self._lazy_session.request(
                 call.method,
                 URL(origin + call.target, encoded=True),
-                headers=self._headers(call, leg),
+                headers=self._make_headers(call, leg),
                 data=call.body or None,
                 allow_redirects=False,
             ) as response:
-                self._read_limit(call, leg.backend, response, sent_at)
-                _check_answer(call, response)
-                yield _Reply(response)
+                self._report_rate_limit(call, leg.backend, response, sent_at)
+                _check_response(call, response)
+                yield _BackendResponse(response)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-            # No connection, so no byte of the call was written.
+            # Without a connection no byte of the call was written.
             raise NotRunError(ErrorKind.no_endpoint, 'no connection')
         except (aiohttp.ClientError, OSError) as error:
             raise BackendCutError(type(error).__name__) from error
 
-    def _read_limit(
+    def _report_rate_limit(
         self,
         call: DirectCall,
         backend: Backend,
         response: aiohttp.ClientResponse,
         sent_at: float,
     ) -> None:
-        if _is_stray(call, response):
+        if _is_mismatched(call, response):
             return
-        text = response.headers.get(headers.LIMIT, '')
+        text = response.headers.get(headers.RATE_LIMIT, '')
         rate = headers.parse_quantity(text)
-        # A back end may leave the limit out of its refusals and failures.
-        sound = response.status in _SUCCESSES and not _find_fault(
-            call, response
+        # Only a valid success without the header shows that there is no limit;
+        # refusals and failures may leave it out.
+        valid_success = (
+            response.status in _SUCCESS_STATUSES
+            and not _find_response_fault(call, response)
         )
-        if rate is not None or (sound and not text):
-            self._note_limit(backend, rate, sent_at)
-
-    def _headers(self, call: DirectCall, leg: Leg) -> CIMultiDict[str]:
-        sent = CIMultiDict(call.headers)
-        left = min(call.patience, call.deadline) - self._clock.monotonic()
-        sent[headers.DEADLINE] = str(max(0, int(left * _MILLISECONDS)))
-        sent[headers.EXPECTED_BACKEND] = leg.backend.name
+        if rate is not None or (valid_success and not text):
+            self._on_rate_limit(backend, rate, sent_at)
+
+    def _make_headers(self, call: DirectCall, leg: Leg) -> CIMultiDict[str]:
+        request_headers = CIMultiDict(call.headers)
+        remaining = min(call.patience, call.deadline) - self._clock.monotonic()
+        request_headers[headers.DEADLINE] = str(
+            max(0, int(remaining * _MILLISECONDS))
+        )
+        request_headers[headers.EXPECTED_BACKEND] = leg.backend.name
         if call.organisation:
-            sent[headers.ORGANISATION] = call.organisation
+            request_headers[headers.ORGANISATION] = call.organisation
         if leg.after_event is not None:
-            sent[headers.LAST_EVENT] = str(leg.after_event)
+            request_headers[headers.LAST_EVENT_ID] = str(leg.after_event)
         resumption = leg.resumption
         if resumption is not None:
             origin = f'{resumption.source}/{resumption.handle}'
-            sent[headers.MOVED_FROM] = origin
+            request_headers[headers.MOVED_FROM] = origin
             if resumption.last_event is not None:
-                sent[headers.LAST_EVENT] = str(resumption.last_event)
-        return sent
+                request_headers[headers.LAST_EVENT_ID] = str(
+                    resumption.last_event
+                )
+        return request_headers
 
 
-class _Report(msgspec.Struct):
-    """An engine's report."""
+class _EngineReport(msgspec.Struct):
+    """An engine's report of its own load, as it sends it."""
 
-    # Tokens that cannot be freed; cached prompts are not among them.
+    # KV cache in tokens: what cannot be freed, and the total.  Cached prompts
+    # can be freed and do not count as used.
     kv_used: int = 0
     kv_total: int = 0
     queued: int = 0
-    # Counts those whose prompt is being read.
+    # Includes requests in prefill.
     running: int = 0
-    # Tokens of the first request that waits.
+    # Prompt tokens of the first request in the queue.
     next_token: int = 0
     state: str = 'ready'
+    # Time until the engine is taken away, None where it does not say.
     leaves_ms: float | None = None
-    # Rows of name, tokens in memory, events made, priority.
+    # A row for each generation past prefill: name, tokens in the KV cache,
+    # events sent, priority.
     runs: list[list[msgspec.Raw]] = []
 
 
-class _Copied(msgspec.Struct):
-    """A copy that an engine made."""
+class _CopyResult(msgspec.Struct):
+    """Response to a request to copy a generation to another engine."""
 
     cache_handle: str | int
 
 
 @dataclass(frozen=True, slots=True)
-class _Answer:
-    """An engine's answer to a call of its own interface."""
+class _EngineResponse:
+    """An engine's response to a request to its control interface."""
 
     status: int
     body: bytes
-    name: str
+    engine_name: str
 
 
 class HttpMovableEngine:
-    """The engine on this VM."""
+    """Client for the control interface of the engine on this VM."""
 
     def __init__(self, address: str) -> None:
-        """Connect with the first call."""
+        """Open no session before the first request.
+
+        Parameters
+        ----------
+        address
+            The engine's address as ``host:port``.
+        """
         self._address = address
         self._lazy_session: aiohttp.ClientSession | None = None
 
@@ -251,13 +292,15 @@
             await self._lazy_session.close()
 
     async def read(self) -> EngineReading:
-        """Return the report."""
-        found = await self._call('GET', '/report', _REPORT_SECONDS)
-        if found.status != HTTPStatus.OK:
-            raise BackendCutError(f'status {found.status}')
+        """Return the engine's current report."""
+        response = await self._send_request(
+            'GET', '/report', _REPORT_TIMEOUT_SECONDS
+        )
+        if response.status != HTTPStatus.OK:
+            raise BackendCutError(f'status {response.status}')
         try:
-            report = msgspec.json.decode(found.body, type=_Report)
-            runs = tuple(_to_run(row) for row in report.runs)
+            report = msgspec.json.decode(response.body, type=_EngineReport)
+            runs = tuple(_parse_run(row) for row in report.runs)
         except (msgspec.DecodeError, IndexError) as error:
             raise BackendCutError(str(error)) from error
         leaves_in = report.leaves_ms
@@ -269,7 +312,7 @@
                 used_tokens=report.kv_used,
                 total_tokens=report.kv_total,
                 leaving=leaving,
-                unread_tokens=_count_unread(report, runs),
+                unread_tokens=_count_unprocessed_prompt_tokens(report, runs),
                 generating=len(runs),
             ),
             runs=runs,
@@ -277,37 +320,56 @@
         )
 
     async def identify(self) -> str:
-        """Return the engine's name for this start of it."""
-        found = await self._call('GET', '/healthz', _REPORT_SECONDS)
-        if not found.name:
+        """Return the name of the engine, which changes with each start."""
+        response = await self._send_request(
+            'GET', '/healthz', _REPORT_TIMEOUT_SECONDS
+        )
+        if not response.engine_name:
             raise BackendCutError('the engine has no name')
-        return found.name
+        return response.engine_name
 
     async def copy(self, run: EngineRun, target: str, last: bool) -> str:
-        """Copy a generation to another engine and return the handle."""
-        order = {'id': run.name, 'to': target, 'last': last}
-        found = await self._call('POST', '/kv-move', _MOVE_SECONDS, order)
-        if found.status == HTTPStatus.NOT_FOUND:
+        """Copy a generation's KV cache to another engine.
+
+        Parameters
+        ----------
+        run
+            The generation.
+        target
+            Address of the other engine.
+        last
+            Whether this is the final copy, for which the generation stops.
+
+        Returns
+        -------
+        str
+            Handle under which the other engine resumes the generation.
+        """
+        payload = {'id': run.name, 'to': target, 'last': last}
+        response = await self._send_request(
+            'POST', '/kv-move', _MOVE_TIMEOUT_SECONDS, payload
+        )
+        if response.status == HTTPStatus.NOT_FOUND:
             raise NotRunError(ErrorKind.answer_expired, 'it has ended')
-        if found.status != HTTPStatus.OK:
-            raise NotRunError(ErrorKind.overloaded, f'status {found.status}')
+        if response.status != HTTPStatus.OK:
+            raise NotRunError(ErrorKind.overloaded, f'status {response.status}')
         try:
-            copied = msgspec.json.decode(found.body, type=_Copied)
+            copied = msgspec.json.decode(response.body, type=_CopyResult)
         except msgspec.DecodeError as error:
             raise BackendCutError(str(error)) from error
         return str(copied.cache_handle)
 
-    async def _call(
-        self, method: str, path: str, seconds: float, order: object = None
-    ) -> _Answer:
+    async def _send_request(
+        self, method: str, path: str, seconds: float, payload: object = None
+    ) -> _EngineResponse:
         if self._lazy_session is None:
             self._lazy_session = aiohttp.ClientSession()
         try:
             async with asyncio.timeout(seconds):
                 async with self._lazy_session.request(
-                    method, f'http://{self._address}{path}', json=order
+                    method, f'http://{self._address}{path}', json=payload
                 ) as response:
-                    return _Answer(
+                    return _EngineResponse(
                         response.status,
                         await response.read(),
                         response.headers.get(headers.BACKEND, ''),
@@ -316,7 +378,7 @@
             raise BackendCutError(type(error).__name__) from error
 
 
-def _to_run(row: list[msgspec.Raw]) -> EngineRun:
+def _parse_run(row: list[msgspec.Raw]) -> EngineRun:
     name, tokens, events = row[:3]
     return EngineRun(
         name=msgspec.json.decode(name, type=str),
@@ -325,58 +387,75 @@
     )
 
 
-def _count_unread(report: _Report, runs: Sequence[EngineRun]) -> int:
-    """Return the tokens of prompts that are being read or wait.
+def _count_unprocessed_prompt_tokens(
+    report: _EngineReport, runs: Sequence[EngineRun]
+) -> int:
+    """Return the tokens of prompts in prefill or in the queue.
 
-    Rows are those past their prompt; what a prompt will need is in use from
-    its admission on.  Of those that wait only the first is told.
+    An engine reserves KV cache for a whole prompt when it admits the request,
+    so what the reported generations do not use belongs to prompts in prefill.
+    The report has the size of the first prompt in the queue only; the others
+    are taken to be as long.
     """
-    waiting = report.queued * report.next_token
+    queued_tokens = report.queued * report.next_token
     if report.running <= len(runs):
-        return waiting
-    generated = sum(run.tokens for run in runs)
-    return max(0, report.kv_used - generated) + waiting
+        return queued_tokens
+    generation_tokens = sum(run.tokens for run in runs)
+    return max(0, report.kv_used - generation_tokens) + queued_tokens
 
 
-def _decode(raw: tuple[tuple[bytes, bytes], ...]) -> list[Header]:
+def _decode_headers(raw: tuple[tuple[bytes, bytes], ...]) -> list[Header]:
     return [
         (name.decode('latin-1'), text.decode('latin-1')) for name, text in raw
     ]
 
 
-def _check_answer(call: DirectCall, response: aiohttp.ClientResponse) -> None:
-    """Raise unless the answer is one to this call, and whole so far.
+def _check_response(call: DirectCall, response: aiohttp.ClientResponse) -> None:
+    """Raise unless a response is a valid one to this call.
+
+    Responses may belong to another call, arrive late, be altered on the way,
+    or lack the seal which proves that the back end itself made them.
 
-    Back ends send stray answers: of another call, late, spoiled on the way,
-    or without the seal that shows them to be the back end's own.
+    Raises
+    ------
+    NotRunError
+        The response says that the call did not run.
+    BackendCutError
+        The response is not valid, so the call may have run.
     """
-    found = response.headers
+    received = response.headers
     if response.status == HTTPStatus.MISDIRECTED_REQUEST:
         raise MisdirectedError(ErrorKind.no_endpoint, 'another one is there')
-    if headers.NOT_RUN in found:
+    if headers.NOT_EXECUTED in received:
         raise NotRunError(ErrorKind.overloaded, f'status {response.status}')
-    fault = _find_fault(call, response)
+    fault = _find_response_fault(call, response)
     if fault:
         raise BackendCutError(fault)
 
 
-def _is_stray(call: DirectCall, response: aiohttp.ClientResponse) -> bool:
-    """Tell whether an answer is another back end's, or to another call."""
+def _is_mismatched(call: DirectCall, response: aiohttp.ClientResponse) -> bool:
+    """Tell whether a response is another back end's or to another call."""
     if response.status == HTTPStatus.MISDIRECTED_REQUEST:
         return True
-    return response.headers.get(headers.ATTEMPT, call.name) != call.name
+    return response.headers.get(headers.ATTEMPT_ID, call.name) != call.name
 
 
-def _find_fault(call: DirectCall, response: aiohttp.ClientResponse) -> str:
-    found = response.headers
-    if response.status in _PROMISES:
-        return f'status {response.status} without its mark'
-    if _is_stray(call, response):
+def _find_response_fault(
+    call: DirectCall, response: aiohttp.ClientResponse
+) -> str:
+    """Return why a response is not valid, empty if it is."""
+    received = response.headers
+    if response.status in _NOT_EXECUTED_STATUSES:
+        return f'status {response.status} without the not-executed header'
+    if _is_mismatched(call, response):
         return 'an answer to another call'
-    if response.status not in _SUCCESSES:
+    if response.status not in _SUCCESS_STATUSES:
         return ''
-    if headers.SEAL not in found or headers.ATTEMPT not in found:
-        return 'a success without its seal'
-    if 'Content-Encoding' in found:
-        return 'an encoded answer'
+    if (
+        headers.RESPONSE_SEAL not in received
+        or headers.ATTEMPT_ID not in received
+    ):
+        return 'a success without the response seal'
+    if 'Content-Encoding' in received:
+        return 'an unexpected Content-Encoding'
     return ''
--- a/primrosewood/platform/entry.py
+++ b/primrosewood/platform/entry.py
@@ -1,4 +1,4 @@
-"""The entry on the platform: callers in front, back ends behind."""
+"""The entry process: accepts callers' requests and calls the back ends."""
 
 import asyncio
 from functools import partial
@@ -36,34 +36,35 @@
 from ..stopping import StopWindow
 from ..storeview import StoreView
 from ..unsent import has_unsent
-from .beliefs import Beliefs
+from .discovery import Discovery
 from .engines import HttpTransport
-from .front import Front, answer_ready
+from .frontend import HttpFrontend, answer_readiness_probe
 from .store import PlatformStore
 
 __all__ = ('EntryNode',)
 
-# Changes must be in force two seconds after they were accepted: a reading that
-# gets no answer and the next one fit in.
-_STORE_SECONDS = 0.7
-_TICK_SECONDS = 0.1
-# Entries to reckon with until an endpoint tells how many there are; a share
-# that is too small only refuses some repeats.
+# A change in the key-value service must take effect here within two seconds.
+# This leaves time for a read that times out and the one after it.
+_STORE_TIMEOUT_SECONDS = 0.7
+_TICK_INTERVAL_SECONDS = 0.1
+# Number of entries assumed until an endpoint reports it.  Limits are divided by
+# it; a number that is too high only refuses some retries.
 _ASSUMED_ENTRIES = 8
-# The balancer asks once a second and takes an entry out after two misses;
-# until then new connections come.
-_NOTICED_SECONDS = 2.6
-# Left of the time until SIGKILL to close what is open.
-_CLOSE_SECONDS = 0.4
-# One prefix for all: each call is paid for, whatever it returns.
-_EVERYTHING = ''
+# The load balancer probes readiness once a second and takes an entry out of
+# rotation after two failures; until then it sends new connections.
+_BALANCER_DETECTION_SECONDS = 2.6
+# Part of the time until SIGKILL that is kept free to close connections.
+_CLOSE_RESERVE_SECONDS = 0.4
+# One listing of all keys, as the platform charges for each call and not for
+# what it returns.
+_ALL_KEYS_PREFIX = ''
 
 
 class EntryNode:
-    """Ties callers, beliefs, links and back ends together."""
+    """Runs the servers and tasks of an entry and stops them in order."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        """Prepare; nothing is opened yet."""
+        """Wire the components together; ``run`` opens the connections."""
         self._settings = settings
         self._clock = SystemClock()
         self._metrics = Metrics()
@@ -71,7 +72,7 @@
         self._entries = EntryCount(_ASSUMED_ENTRIES)
         self._backends = BackendSet(self._entries)
         self._notices = NoticeBoard()
-        self._store = PlatformStore(settings.store, _STORE_SECONDS)
+        self._store = PlatformStore(settings.store, _STORE_TIMEOUT_SECONDS)
         self._engines = EngineView(
             backends=self._backends,
             tables=self._tables,
@@ -82,7 +83,7 @@
             ),
             clock=self._clock,
             link_port=settings.link_port,
-            handle_other=self._hear,
+            handle_other=self._handle_message,
         )
         self._limits = CallLimits(
             self._backends,
@@ -92,69 +93,74 @@
             self._engines.send_to_one,
         )
         self._transport = HttpTransport(self._clock, self._limits.note_answer)
-        self._beliefs = Beliefs(
+        self._discovery = Discovery(
             self._tables, self._backends, self._clock, self._engines.update
         )
-        self._reader = SharedReader(
+        self._store_reader = SharedReader(
             name=settings.name,
-            view=StoreView(self._store, _EVERYTHING, self._beliefs.take_pair),
+            view=StoreView(
+                self._store, _ALL_KEYS_PREFIX, self._discovery.take_pair
+            ),
             clock=self._clock,
             random=make_random(),
             send=self._engines.send_to_one,
-            note_answered=self._beliefs.note_store,
+            note_answered=self._discovery.note_store,
         )
-        self._stop = StopWindow(
-            settings.limits.stop_seconds - _CLOSE_SECONDS, _NOTICED_SECONDS
+        self._stop_window = StopWindow(
+            settings.limits.stop_seconds - _CLOSE_RESERVE_SECONDS,
+            _BALANCER_DETECTION_SECONDS,
         )
-        self._front = self._make_front()
+        self._frontend = self._make_frontend()
         self._peers = PeerServer(
             settings.link_key, self._engines.take_announcement
         )
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until asked to stop, then end gracefully."""
+        """Serve until ``stop`` is set, then drain and close."""
         settings = self._settings
-        self._watch_metrics()
-        callers = await listen(
-            self._front.handle,
+        self._register_gauges()
+        caller_server = await listen(
+            self._frontend.handle,
             settings.entry.callers,
-            HttpLimits(head_seconds=self._head_seconds),
+            HttpLimits(head_seconds=self._get_head_timeout),
         )
-        runners = [
-            callers,
+        servers = [
+            caller_server,
             await listen(
-                partial(answer_ready, self._is_ready),
+                partial(answer_readiness_probe, self._is_ready),
                 settings.entry.ready,
                 HttpLimits(),
             ),
         ]
         if settings.metrics_port:
-            runners.append(
+            servers.append(
                 await listen_metrics(
                     self._metrics, settings.host, settings.metrics_port
                 )
             )
         tasks = [
-            spawn(self._reader.run(), 'beliefs'),
+            spawn(self._store_reader.run(), 'store reader'),
             spawn(self._tick(), 'tick'),
         ]
         async with self._peers.listen(*split_address(settings.entry.peers)):
             try:
                 await stop.wait()
-                await self._drain(callers)
+                await self._drain(caller_server)
             finally:
-                await self._close(tasks, runners)
+                await self._close(tasks, servers)
 
     def reload(self, settings: NodeSettings) -> None:
-        """Take on the limits of changed settings."""
-        self._placement.take_rules(_to_rules(settings))
-        self._stop.seconds = settings.limits.stop_seconds - _CLOSE_SECONDS
+        """Apply the limits of reloaded settings."""
+        self._placement.take_rules(_make_rules(settings))
+        self._stop_window.seconds = (
+            settings.limits.stop_seconds - _CLOSE_RESERVE_SECONDS
+        )
 
-    def _make_front(self) -> Front:
+    def _make_frontend(self) -> HttpFrontend:
         random = make_random()
         self._placement = CallPlacement(
             PlacementTools(
-                rules=_to_rules(self._settings),
+                rules=_make_rules(self._settings),
                 tables=self._tables,
                 backends=self._backends,
                 entries=self._entries,
@@ -173,79 +179,85 @@
             clock=self._clock,
             metrics=self._metrics,
         )
-        return Front(
+        return HttpFrontend(
             Relay(tools),
             self._tables,
             self._clock,
             random,
             self._metrics,
-            self._stop,
+            self._stop_window,
         )
 
-    def _hear(self, message: Message, link: Link) -> None:
+    def _handle_message(self, message: Message, link: Link) -> None:
         if isinstance(message, wire.LimitTold):
             self._limits.take_told(message)
         else:
-            self._reader.handle(message, link)
+            self._store_reader.handle(message, link)
 
-    def _watch_metrics(self) -> None:
+    def _register_gauges(self) -> None:
         watch = self._metrics.watch
-        watch('active', lambda: self._front.active)
+        watch('active', lambda: self._frontend.active)
         watch('table_version', lambda: self._tables.version)
         watch('endpoints', lambda: len(self._backends.backends))
         watch('entries', lambda: self._entries.count)
 
-    def _head_seconds(self) -> float:
+    def _get_head_timeout(self) -> float:
         table = self._tables.table
         return (table.limits if table else CallerLimits()).head_seconds
 
     def _is_ready(self) -> bool:
-        # Stays ready through an outage of the key-value service, with what
-        # is known.
-        known = self._tables.table is not None and self._backends.backends
-        return bool(known) and not self._stop.begun
+        # Stays ready during an outage of the key-value service: the routes and
+        # back ends that were read before it remain in use.
+        has_configuration = (
+            self._tables.table is not None and self._backends.backends
+        )
+        return bool(has_configuration) and not self._stop_window.begun
 
     async def _tick(self) -> None:
         while True:
-            await asyncio.sleep(_TICK_SECONDS)
-            self._beliefs.settle()
+            await asyncio.sleep(_TICK_INTERVAL_SECONDS)
+            self._discovery.settle()
             self._engines.tick()
 
-    async def _drain(self, callers: web.ServerRunner) -> None:
-        """Serve on until the balancer has noticed and all are answered."""
-        log_event('draining', active=self._front.active)
-        self._stop.begin(self._clock.monotonic())
+    async def _drain(self, caller_server: web.ServerRunner) -> None:
+        """Serve until the balancer has noticed the stop and all are answered.
+
+        Ends earlier when the stop time is over.
+        """
+        log_event('draining', active=self._frontend.active)
+        self._stop_window.begin(self._clock.monotonic())
         try:
-            async with asyncio.timeout(self._stop.seconds):
-                await asyncio.sleep(_NOTICED_SECONDS)
-                await self._wait_answered(callers)
-                await stop_listening(callers)
-                # What was read before that is answered like the rest.
-                await self._wait_answered(callers)
+            async with asyncio.timeout(self._stop_window.seconds):
+                await asyncio.sleep(_BALANCER_DETECTION_SECONDS)
+                await self._wait_until_idle(caller_server)
+                await stop_listening(caller_server)
+                # Requests that arrived before the listener closed are
+                # answered as well.
+                await self._wait_until_idle(caller_server)
         except TimeoutError:
             log_event(
-                'stopped_with_work_left', 'ERROR', active=self._front.active
+                'stopped_with_work_left', 'ERROR', active=self._frontend.active
             )
 
-    async def _wait_answered(self, callers: web.ServerRunner) -> None:
-        release_connections(callers)
-        while self._front.active or has_unsent(callers):
-            await asyncio.sleep(_TICK_SECONDS)
-            release_connections(callers)
+    async def _wait_until_idle(self, caller_server: web.ServerRunner) -> None:
+        release_connections(caller_server)
+        while self._frontend.active or has_unsent(caller_server):
+            await asyncio.sleep(_TICK_INTERVAL_SECONDS)
+            release_connections(caller_server)
 
     async def _close(
-        self, tasks: list[asyncio.Task], runners: list[web.ServerRunner]
+        self, tasks: list[asyncio.Task], servers: list[web.ServerRunner]
     ) -> None:
-        self._front.end_calls()
+        self._frontend.terminate_calls()
         for task in tasks:
             task.cancel()
         self._engines.stop()
-        await asyncio.gather(*(runner.cleanup() for runner in runners))
+        await asyncio.gather(*(server.cleanup() for server in servers))
         await self._transport.close()
         await self._store.close()
 
 
-def _to_rules(settings: NodeSettings) -> RelayRules:
+def _make_rules(settings: NodeSettings) -> RelayRules:
     limits = settings.limits
     return RelayRules(
         failure_domain=settings.failure_domain,
--- a/primrosewood/platform/front.py
+++ b/primrosewood/platform/frontend.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP on the platform: one request in, its answer out."""
+"""HTTP frontend of an entry: reads callers' requests and writes responses."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,24 +21,27 @@
 from ..timers import TimerGroup
 from . import headers
 
-__all__ = ('Front', 'answer_ready')
+__all__ = ('HttpFrontend', 'answer_readiness_probe')
 
-_BEARER = 'Bearer '
-_SECONDS_TO_RETURN = 0.5
-# For a body of the largest size that operators allow, 4 MB, over a slow line.
-_BODY_SECONDS = 10.0
-# Callers wait as they are told up to this share of the time they have left.
-_HEEDED_SHARE = 1 / 3
+_BEARER_PREFIX = 'Bearer '
+_DEFAULT_RETRY_SECONDS = 0.5
+# Enough for the largest body that operators allow, 4 MB, over a slow line.
+_BODY_TIMEOUT_SECONDS = 10.0
+# Callers follow a Retry-After of up to this share of their remaining time.
+_MAX_RETRY_WAIT_SHARE = 1 / 3
 
 
-class Front:
-    """Takes callers' requests and writes their answers.
+class HttpFrontend:
+    """Handles callers' HTTP requests.
+
+    A request is checked against the operators' routes and limits, forwarded
+    by the relay, or refused.
 
     Attributes
     ----------
     stop
-        The planned stop; once it has begun, connections end with their
-        answers.
+        State of the planned stop.  Once the stop has begun, each connection
+        is closed after its current response.
     """
 
     def __init__(
@@ -50,7 +53,23 @@
         metrics: Metrics,
         stop: StopWindow,
     ) -> None:
-        """Take the relay that answers."""
+        """Start with no requests in progress.
+
+        Parameters
+        ----------
+        relay
+            Forwards calls to back ends.
+        tables
+            Holds the operators' routes.
+        clock
+            Its monotonic time is what deadlines refer to.
+        random
+            Chooses between the services that share a route.
+        metrics
+            Counts refusals and disconnects.
+        stop
+            State of the planned stop.
+        """
         self.stop = stop
         self._relay = relay
         self._tables = tables
@@ -58,7 +77,7 @@
         self._random = random
         self._metrics = metrics
         self._active = 0
-        self._bodies = TimerGroup()
+        self._body_timers = TimerGroup()
 
     @property
     def active(self) -> int:
@@ -66,34 +85,35 @@
         return self._active
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request.
+        """Handle one request.
 
-        Where the caller's connection has ended nobody reads what is returned;
-        the HTTP library wants a response that it can drop.
+        aiohttp requires a response even when the caller has disconnected; it
+        is then discarded.
         """
         self._active += 1
         try:
             return await self._answer_or_refuse(request)
         except ConnectionAbortedError:
-            # Cut by us, which is logged with its cause.
+            # This process aborted the connection and has logged the cause.
             return web.Response()
         except ConnectionError:
-            self._note_left(request)
+            self._record_disconnect(request)
             return web.Response()
         except asyncio.CancelledError:
-            self._note_left(request)
+            self._record_disconnect(request)
             raise
         finally:
             self._active -= 1
 
-    def end_calls(self) -> None:
-        """End what is in progress and refuse what still comes.
+    def terminate_calls(self) -> None:
+        """End all calls in progress and refuse new ones.
 
-        The process ends now.  Whoever was read and gets no word cannot tell
-        whether to ask again.
+        Called just before the process exits.  A caller that still waits for
+        its response gets an error: without one it could not tell whether it
+        is safe to retry.
         """
         self.stop.end(self._clock.monotonic())
-        self._bodies.end()
+        self._body_timers.end()
         self._relay.stop()
 
     async def _answer_or_refuse(
@@ -107,25 +127,25 @@
             raise
         except Exception as error:
             log_failure('request', error)
-            failed = RequestFailedError(ErrorKind.internal)
-            return self._refuse(request, failed)
+            internal_error = RequestFailedError(ErrorKind.internal)
+            return self._refuse(request, internal_error)
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
         arrived = self._clock.monotonic()
         call = await self._read_call(request, arrived)
-        # The body may have taken its time.
-        judged = self._clock.monotonic()
+        # Reading the body may have taken long, so the time is read again.
+        admission_time = self._clock.monotonic()
         if self.stop.begun and not self.stop.admits(
-            call, self._relay.guess_length(call), judged
+            call, self._relay.guess_length(call), admission_time
         ):
             raise RequestFailedError(
                 ErrorKind.leaving,
-                retry_seconds=self._return_seconds(call, judged),
+                retry_seconds=self._choose_retry_delay(call, admission_time),
             )
         writer = _AnswerWriter(
             request,
-            self._close_after,
-            partial(self.stop.must_hold, call, judged),
+            self._close_if_stopping,
+            partial(self.stop.must_hold, call, admission_time),
         )
         try:
             await self._relay.answer(call, writer)
@@ -141,27 +161,27 @@
         table = self._tables.table
         if table is None:
             raise RequestFailedError(ErrorKind.settings_missing)
-        raw = _raw_headers(request)
-        self._check_head(raw, table)
-        name = headers.find_header(raw, headers.ATTEMPT)
-        if not name or not _is_carried_unchanged(request.raw_path):
+        raw_headers = _decode_headers(request)
+        self._check_head_size(raw_headers, table)
+        attempt_id = headers.find_header(raw_headers, headers.ATTEMPT_ID)
+        if not attempt_id or not _is_forwarded_unchanged(request.raw_path):
             raise RequestFailedError(ErrorKind.invalid_request)
         body = await self._read_body(request, table.limits.body_bytes)
-        # A configuration may have come while the body did; what is decided
-        # now must not be older than what was decided a moment ago.
+        # A new route table may have arrived while the body was read.  Using the
+        # old one could contradict decisions that are already based on the new.
         table = self._tables.table
         route = _find_route(request, table)
-        organisation = _identify(raw, route, table)
+        organisation = _authenticate(raw_headers, route, table)
         patience = headers.parse_deadline(
-            headers.find_header(raw, headers.DEADLINE)
+            headers.find_header(raw_headers, headers.DEADLINE)
         )
         deadline = arrived + route.timeout
         target = choose_target(route, self._random.random())
         return DirectCall(
-            name=name,
+            name=attempt_id,
             method=request.method,
             target=request.raw_path,
-            headers=headers.keep_caller_headers(raw),
+            headers=headers.filter_caller_headers(raw_headers),
             body=body,
             route=route,
             service=target,
@@ -169,33 +189,37 @@
             arrived=arrived,
             deadline=deadline,
             patience=deadline if patience is None else arrived + patience,
-            size=headers.parse_size(raw) if route.streaming else None,
+            size=headers.parse_size(raw_headers) if route.streaming else None,
         )
 
-    async def _read_body(self, request: web.BaseRequest, most: int) -> bytes:
+    async def _read_body(
+        self, request: web.BaseRequest, max_bytes: int
+    ) -> bytes:
         if not request.body_exists:
             return b''
-        # The HTTP library says nothing of a body whose framing breaks
-        # halfway: it never ends.  One that is slow on purpose holds memory as
-        # long.
+        # aiohttp reports no error when the framing of a body is invalid; the
+        # body just never ends.  A body that is sent slowly on purpose also
+        # holds memory.
         try:
-            async with self._bodies.limit(_BODY_SECONDS):
-                return await _join_body(request, most)
+            async with self._body_timers.limit(_BODY_TIMEOUT_SECONDS):
+                return await _read_limited_body(request, max_bytes)
         except TimeoutError as error:
             raise RequestFailedError(ErrorKind.request_timeout) from error
 
-    def _check_head(self, raw: list[Header], table: RouteTable) -> None:
-        if _size_of(raw) > table.limits.header_bytes:
+    def _check_head_size(
+        self, raw_headers: list[Header], table: RouteTable
+    ) -> None:
+        if _count_header_bytes(raw_headers) > table.limits.header_bytes:
             raise RequestFailedError(ErrorKind.head_too_large)
 
     def _refuse(
         self, request: web.BaseRequest, error: RequestFailedError
     ) -> web.Response:
         answer = error.answer
-        name = _name_of(request)
+        attempt_id = _get_attempt_id(request)
         log_decision(
             'refused',
-            request=name,
+            request=attempt_id,
             kind=error.kind.value,
             status=int(answer.status),
             ran=error.ran.value,
@@ -205,43 +229,44 @@
         kind = error.kind.value
         response = web.Response(status=answer.status, text=f'{kind}\n')
         if answer.retry:
-            seconds = error.retry_seconds or _SECONDS_TO_RETURN
+            seconds = error.retry_seconds or _DEFAULT_RETRY_SECONDS
             response.headers['Retry-After'] = str(round(seconds, 2))
-        if name:
-            response.headers[headers.ATTEMPT] = name
-        self._close_after(response)
+        if attempt_id:
+            response.headers[headers.ATTEMPT_ID] = attempt_id
+        self._close_if_stopping(response)
         return response
 
-    def _note_left(self, request: web.BaseRequest) -> None:
-        log_decision('caller_left', request=_name_of(request))
+    def _record_disconnect(self, request: web.BaseRequest) -> None:
+        log_decision('caller_left', request=_get_attempt_id(request))
         self._metrics.count('callers_left')
 
-    def _return_seconds(self, call: DirectCall, now: float) -> float:
-        heeded = max(0, call.patience - now) * _HEEDED_SHARE
-        return min(self.stop.return_seconds(now), heeded)
+    def _choose_retry_delay(self, call: DirectCall, now: float) -> float:
+        longest_accepted = max(0, call.patience - now) * _MAX_RETRY_WAIT_SHARE
+        return min(self.stop.return_seconds(now), longest_accepted)
 
-    def _close_after(self, response: web.StreamResponse) -> None:
+    def _close_if_stopping(self, response: web.StreamResponse) -> None:
         if self.stop.begun:
             response.force_close()
 
 
 class _AnswerWriter:
-    """Writes one answer to its caller.
+    """Writes one response to its caller.
 
-    Where the answer must be held, it is kept until it is whole.
+    If ``must_hold`` says so when the response begins, nothing is sent until
+    the response is complete.
     """
 
     def __init__(
         self,
         request: web.BaseRequest,
-        close_after: Callable[[web.StreamResponse], None],
+        close_if_stopping: Callable[[web.StreamResponse], None],
         must_hold: Callable[[], bool],
     ) -> None:
         self._request = request
-        self._close_after = close_after
+        self._close_if_stopping = close_if_stopping
         self._must_hold = must_hold
         self._response: web.StreamResponse | None = None
-        self._held: list[bytes] = []
+        self._buffered: list[bytes] = []
 
     @property
     def begun(self) -> bool:
@@ -253,19 +278,25 @@
         )
         if head.length is not None:
             response.content_length = head.length
-        self._close_after(response)
+        self._close_if_stopping(response)
         self._response = response
         if not self._must_hold():
             await response.prepare(self._request)
 
     async def write(self, body: bytes) -> None:
         if not self.begun:
-            self._held.append(body)
+            self._buffered.append(body)
         elif body:
             await self._response.write(body)
 
     def abort(self) -> None:
-        """Cut the connection: half an answer must not look complete."""
+        """Abort the connection, so that a partial response looks incomplete.
+
+        Raises
+        ------
+        ConnectionAbortedError
+            In any case, as there is no response to return.
+        """
         transport = self._request.transport
         if transport is not None:
             transport.abort()
@@ -274,15 +305,15 @@
     async def end(self) -> web.StreamResponse:
         if not self.begun:
             await self._response.prepare(self._request)
-            await self._response.write(b''.join(self._held))
+            await self._response.write(b''.join(self._buffered))
         await self._response.write_eof()
         return self._response
 
 
-async def answer_ready(
+async def answer_readiness_probe(
     is_ready: Callable[[], bool], _request: web.BaseRequest
 ) -> web.Response:
-    """Answer the balancer's question whether to send callers here."""
+    """Answer the load balancer's readiness probe."""
     if is_ready():
         return web.Response(text='ready\n')
     return web.Response(
@@ -290,40 +321,40 @@
     )
 
 
-def _is_carried_unchanged(target: str) -> bool:
-    """Tell whether the HTTP library would send a target as it came.
+def _is_forwarded_unchanged(target: str) -> bool:
+    """Tell whether aiohttp would forward a request target unchanged.
 
-    It drops a fragment and a lone question mark; a call that would reach the
-    back end under another path is refused.
+    It drops a fragment and a trailing question mark without a query.  A call
+    that would reach the back end under another path is refused instead.
     """
     url = URL(f'http://host{target}', encoded=True)
     return target.startswith('/') and url.raw_path_qs == target
 
 
-def _name_of(request: web.BaseRequest) -> str:
-    return request.headers.get(headers.ATTEMPT, '')
+def _get_attempt_id(request: web.BaseRequest) -> str:
+    return request.headers.get(headers.ATTEMPT_ID, '')
 
 
-def _raw_headers(request: web.BaseRequest) -> list[Header]:
+def _decode_headers(request: web.BaseRequest) -> list[Header]:
     return [
         (name.decode('latin-1'), text.decode('latin-1'))
         for name, text in request.raw_headers
     ]
 
 
-async def _join_body(request: web.BaseRequest, most: int) -> bytes:
+async def _read_limited_body(request: web.BaseRequest, max_bytes: int) -> bytes:
     parts = []
     size = 0
     async for part in request.content.iter_any():
         size += len(part)
-        if size > most:
+        if size > max_bytes:
             raise RequestFailedError(ErrorKind.too_large)
         parts.append(part)
     return b''.join(parts)
 
 
-def _size_of(raw: list[Header]) -> int:
-    return sum(len(name) + len(text) for name, text in raw)
+def _count_header_bytes(raw_headers: list[Header]) -> int:
+    return sum(len(name) + len(text) for name, text in raw_headers)
 
 
 def _find_route(request: web.BaseRequest, table: RouteTable) -> Route:
@@ -335,12 +366,20 @@
     return route
 
 
-def _identify(raw: list[Header], route: Route, table: RouteTable) -> str:
-    """Return the organisation of a caller's key, empty without one."""
+def _authenticate(
+    raw_headers: list[Header], route: Route, table: RouteTable
+) -> str:
+    """Return the organisation that a caller's API key belongs to.
+
+    Empty where the operators require no keys, and for callers of an anonymous
+    route that send no known key.
+    """
     if not table.organisations:
         return ''
-    text = headers.find_header(raw, 'Authorization')
-    found = table.organisations.get(text.removeprefix(_BEARER).strip())
-    if found is None and not route.anonymous:
+    authorization = headers.find_header(raw_headers, 'Authorization')
+    organisation = table.organisations.get(
+        authorization.removeprefix(_BEARER_PREFIX).strip()
+    )
+    if organisation is None and not route.anonymous:
         raise RequestFailedError(ErrorKind.unauthenticated)
-    return found or ''
+    return organisation or ''
--- a/primrosewood/platform/headers.py
+++ b/primrosewood/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of the platform, each named once, and which of them pass."""
+"""Names of the platform's headers, and which headers are forwarded."""
 
 import math
 from collections.abc import Iterable
@@ -6,50 +6,52 @@
 from ..directcalls import GenerationSize, Header
 
 __all__ = (
-    'ATTEMPT',
+    'ATTEMPT_ID',
     'BACKEND',
     'DEADLINE',
     'EXPECTED_BACKEND',
-    'LAST_EVENT',
-    'LIMIT',
+    'LAST_EVENT_ID',
     'MOVED_FROM',
-    'NOT_RUN',
+    'NOT_EXECUTED',
     'ORGANISATION',
-    'SEAL',
-    'SIZE',
-    'drop_hop_headers',
+    'RATE_LIMIT',
+    'RESPONSE_SEAL',
+    'TOKEN_USAGE',
+    'drop_hop_by_hop_headers',
+    'filter_caller_headers',
     'find_header',
-    'keep_caller_headers',
     'parse_deadline',
     'parse_quantity',
     'parse_size',
 )
 
-# The caller's name for one try of its request; engines echo it.
-ATTEMPT = 'Primrosewood-Attempt-Id'
-# Milliseconds that are left, not a time of day.
+# Chosen by the caller for each attempt of a request; back ends echo it.
+ATTEMPT_ID = 'Primrosewood-Attempt-Id'
+# Remaining milliseconds, not a time of day.
 DEADLINE = 'Primrosewood-Deadline-Ms'
-# The back end must be the one of this name, or it answers 421.
+# Name of the back end that the call is for; any other one answers 421.
 EXPECTED_BACKEND = 'Primrosewood-Expect-Instance'
-# Name of the back end that answers.
+# Name of the back end that responds.
 BACKEND = 'Primrosewood-Instance-Id'
 ORGANISATION = 'Primrosewood-Tenant'
-# The back end certifies an answer as its own.
-SEAL = 'Primrosewood-Response-Seal'
-# Present where a back end did not run the call.
-NOT_RUN = 'Primrosewood-Not-Executed'
-# ``host:port/handle`` of the copy that a generation goes on from.
+# Proves that the back end itself made the response.
+RESPONSE_SEAL = 'Primrosewood-Response-Seal'
+# Present in a response to a call that the back end did not run.
+NOT_EXECUTED = 'Primrosewood-Not-Executed'
+# ``host:port/handle`` of the KV cache copy that a moved generation resumes
+# from.
 MOVED_FROM = 'Kv-From'
-LAST_EVENT = 'Last-Event-Id'
-# Calls a second that the back end takes from all entries together.
-LIMIT = 'Server-Limit'
-# Tokens of the prompt, then the most that the answer may have.
-SIZE = 'Primrosewood-Token-Usage'
-_HINT = 'Primrosewood-Length-Hint'
+LAST_EVENT_ID = 'Last-Event-Id'
+# Calls per second that the back end accepts from all entries together.
+RATE_LIMIT = 'Server-Limit'
+# Tokens of the prompt and the maximum for the answer, separated by a comma.
+TOKEN_USAGE = 'Primrosewood-Token-Usage'
+# The caller's estimate of the answer's tokens.
+_LENGTH_HINT = 'Primrosewood-Length-Hint'
 
 _MILLISECONDS = 1000
 
-_OF_ONE_CONNECTION = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
         'content-length',
@@ -64,10 +66,10 @@
         'upgrade',
     )
 )
-# What only the system may set towards an engine.  A caller's own would let it
-# hold engine memory, jump the queue, read another caller's copy or pass for
-# another organisation; its key stays with us.
-_SET_BY_US = frozenset(
+# Headers that a caller must not pass to a back end.  They would let it hold
+# engine memory, jump the queue, read another caller's KV cache or impersonate
+# another organisation.  Its API key is checked here and not forwarded.
+_RESERVED_HEADERS = frozenset(
     (
         'authorization',
         DEADLINE.lower(),
@@ -85,44 +87,48 @@
 
 
 def find_header(headers: Iterable[Header], name: str) -> str:
-    """Return the first header of a name, empty when there is none."""
+    """Return the value of the first header of a name, empty if absent."""
     wanted = name.lower()
-    for found, text in headers:
-        if found.lower() == wanted:
+    for header, text in headers:
+        if header.lower() == wanted:
             return text
     return ''
 
 
-def drop_hop_headers(headers: Iterable[Header]) -> tuple[Header, ...]:
-    """Return the headers that concern more than one connection."""
+def drop_hop_by_hop_headers(headers: Iterable[Header]) -> tuple[Header, ...]:
+    """Return the end-to-end headers.
+
+    Drops hop-by-hop headers, also those that ``Connection`` lists, and the
+    body's framing, which each connection sets for itself.
+    """
     kept = tuple(headers)
-    named = {
+    connection_options = {
         token.strip().lower()
         for name, text in kept
         if name.lower() == 'connection'
         for token in text.split(',')
     }
-    dropped = named | _OF_ONE_CONNECTION
+    dropped = connection_options | _HOP_BY_HOP_HEADERS
     return tuple(pair for pair in kept if pair[0].lower() not in dropped)
 
 
-def keep_caller_headers(headers: Iterable[Header]) -> tuple[Header, ...]:
-    """Return a caller's headers as a back end may see them."""
+def filter_caller_headers(headers: Iterable[Header]) -> tuple[Header, ...]:
+    """Return the headers of a caller that are forwarded to a back end."""
     return tuple(
         pair
-        for pair in drop_hop_headers(headers)
-        if pair[0].lower() not in _SET_BY_US
+        for pair in drop_hop_by_hop_headers(headers)
+        if pair[0].lower() not in _RESERVED_HEADERS
     )
 
 
 def parse_deadline(text: str) -> float | None:
-    """Return the seconds that a caller waits, None where it does not say."""
+    """Return the seconds that a caller waits, None if absent or invalid."""
     milliseconds = parse_quantity(text)
     return None if milliseconds is None else milliseconds / _MILLISECONDS
 
 
 def parse_quantity(text: str) -> float | None:
-    """Return a number of at least 0, None for anything else."""
+    """Return a finite number of at least 0, None for any other text."""
     try:
         quantity = float(text)
     except ValueError:
@@ -131,14 +137,17 @@
 
 
 def parse_size(headers: Iterable[Header]) -> GenerationSize | None:
-    """Return the size that a caller announces, None where it does not."""
-    usage = find_header(headers, SIZE)
-    prompt, _comma, most = usage.partition(',')
+    """Return the tokens that a caller declares, None if absent or invalid.
+
+    The maximum and the hint are 0 where the caller gives none.
+    """
+    usage = find_header(headers, TOKEN_USAGE)
+    prompt, _comma, max_tokens = usage.partition(',')
     if not prompt.strip().isdigit():
         return None
-    hint = find_header(headers, _HINT).strip()
+    hint = find_header(headers, _LENGTH_HINT).strip()
     return GenerationSize(
         prompt_tokens=int(prompt),
-        most_tokens=int(most) if most.strip().isdigit() else 0,
+        most_tokens=int(max_tokens) if max_tokens.strip().isdigit() else 0,
         hint=int(hint) if hint.isdigit() else 0,
     )
--- a/primrosewood/platform/load.py
+++ b/primrosewood/platform/load.py
@@ -1,4 +1,4 @@
-"""The load tool's workloads, sent as this platform's callers send them."""
+"""Load generator that sends requests as the platform's callers do."""
 
 import time
 from contextlib import AbstractAsyncContextManager
@@ -14,19 +14,20 @@
 from ..workloads import Task
 from . import headers
 
-__all__ = ('ForwardedCaller', 'PlatformLoad', 'main')
+__all__ = ('PlatformCaller', 'PlatformLoad', 'main')
 
-# A caller waits this long; the sheets have 6 s for short answers and 39 s for
-# long ones.
-_PATIENCE_MS = 39_000
+# Time that each request allows.  The platform's callers allow 6 s for short
+# answers and 39 s for long ones.
+_DEADLINE_MS = 39_000
 _PROMPT_TOKENS = 1000
-_MOST_ATTEMPTS = 3
-_NAME_BYTES = 8
-# Of the route to engines; workloads name the paths of plain services only.
+_MAX_ATTEMPTS = 3
+_ATTEMPT_ID_BYTES = 8
+# Path of the route to engines; workloads have paths for plain services only.
 _GENERATION_PATH = 'generate'
-_DATA = b'data:'
-# An answer with one of these says that nothing ran and nothing will.
-_PROMISES = frozenset(
+_DATA_PREFIX = b'data:'
+# A response with one of these statuses says that the call did not and will not
+# run, so that it is safe to send it again.
+_NOT_EXECUTED_STATUSES = frozenset(
     (
         HTTPStatus.REQUEST_TIMEOUT,
         HTTPStatus.MISDIRECTED_REQUEST,
@@ -37,7 +38,7 @@
 
 
 class PlatformLoad:
-    """Send generations and service calls to entries and measure them.
+    """Send generations and service calls to entries and measure the responses.
 
     Examples
     --------
@@ -56,42 +57,46 @@
         seed: int = 1,
         out: str = '',
     ) -> None:
-        """Send a workload and print what came back.
+        """Send a workload and print a summary of the responses.
 
         Parameters
         ----------
         urls
-            Entries, separated by commas; a retry goes to the next one.
+            URLs of entries, separated by commas; a retry goes to the next one.
         host
-            Host of the routes.
+            Value of the Host header, which selects the routes.
         key
-            The organisation's key.
+            API key of the organisation.
         workload
-            One of those that `primrosewood-load workloads` prints.
+            Name of a workload; `primrosewood-load workloads` lists them.
         rate
-            Requests a second on average.
+            Average number of requests per second.
         seconds
-            How long requests are sent.
+            How long to send requests.
         seed
-            The same seed sends the same requests.
+            Seed of the random choices; the same seed sends the same requests.
         out
-            File for one JSON line for each answer.
+            File that receives one JSON line for each response.
         """
-        settings = CallerSettings(split_urls(urls), key, _MOST_ATTEMPTS)
+        settings = CallerSettings(split_urls(urls), key, _MAX_ATTEMPTS)
         run_workload(
             (workload, rate, seconds, seed),
-            lambda session: ForwardedCaller(session, settings, host),
+            lambda session: PlatformCaller(session, settings, host),
             out,
         )
 
 
-class ForwardedCaller(TaskCaller):
-    """A caller whose requests are forwarded byte for byte.
+class PlatformCaller(TaskCaller):
+    """Sends tasks with the platform's headers.
 
     Parameters
     ----------
+    session
+        HTTP session, which the owner of this object closes.
+    settings
+        Entries to use and the organisation's key.
     host
-        Host of the routes.
+        Value of the Host header, which selects the routes.
     """
 
     def __init__(
@@ -100,14 +105,14 @@
         settings: CallerSettings,
         host: str,
     ) -> None:
-        """Take a session that outlives the caller."""
+        """Prepare to send tasks; nothing is sent yet."""
         super().__init__(session, settings)
         self._host = host
 
     def _request(
         self, url: str, task: Task, answer: CallerAnswer
     ) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
-        # Each attempt is a run of its own.
+        # Each attempt starts a new generation, so earlier tokens do not count.
         answer.tokens.clear()
         path = task.kind.path or _GENERATION_PATH
         return self._session.request(
@@ -122,7 +127,7 @@
         answer: CallerAnswer,
         started: float,
     ) -> None:
-        await _read(response, answer, started)
+        await _read_response(response, answer, started)
 
     def _may_return(self, task: Task, answer: CallerAnswer) -> bool:
         if answer.complete:
@@ -131,48 +136,50 @@
 
     def _headers(self, task: Task) -> dict[str, str]:
         key = self._settings.key
-        sent = {
+        request_headers = {
             'Host': self._host,
             'Authorization': f'Bearer {key}',
-            headers.ATTEMPT: token_hex(_NAME_BYTES),
-            headers.DEADLINE: str(_PATIENCE_MS),
+            headers.ATTEMPT_ID: token_hex(_ATTEMPT_ID_BYTES),
+            headers.DEADLINE: str(_DEADLINE_MS),
         }
         if not task.kind.path:
-            sent[headers.SIZE] = f'{_PROMPT_TOKENS},{task.length}'
-        return sent
+            request_headers[headers.TOKEN_USAGE] = (
+                f'{_PROMPT_TOKENS},{task.length}'
+            )
+        return request_headers
 
 
-async def _read(
+async def _read_response(
     response: aiohttp.ClientResponse, answer: CallerAnswer, started: float
 ) -> None:
     splitter = EventSplitter()
-    last = 0.0
+    last_arrival = 0.0
     async for part in response.content.iter_any():
-        now = time.monotonic()
-        if last:
-            answer.largest_gap = max(answer.largest_gap, now - last)
+        arrival = time.monotonic()
+        if last_arrival:
+            answer.largest_gap = max(answer.largest_gap, arrival - last_arrival)
         else:
-            answer.first_token = now - started
-        last = now
+            answer.first_token = arrival - started
+        last_arrival = arrival
         if response.content_type == 'text/event-stream':
-            answer.tokens += map(_to_token, splitter.feed(part))
+            answer.tokens += map(_parse_token, splitter.feed(part))
     answer.complete = response.status == HTTPStatus.OK
     if not answer.complete:
         answer.error = str(response.status)
-        promised = response.status in _PROMISES
-        answer.ran = 'no' if promised else 'unknown'
+        not_executed = response.status in _NOT_EXECUTED_STATUSES
+        answer.ran = 'no' if not_executed else 'unknown'
         answer.retry_seconds = float(response.headers.get('Retry-After', 0))
 
 
-def _to_token(event: bytes) -> str:
-    """Return the run that made an event, and the event's place in it."""
-    run = event.partition(_DATA)[2].strip().decode()
-    place = (read_event_id(event) or 0) - 1
-    return f'{run}.{place}'
+def _parse_token(event: bytes) -> str:
+    """Return ``run.position`` of an event; the first position is 0."""
+    run = event.partition(_DATA_PREFIX)[2].strip().decode()
+    position = (read_event_id(event) or 0) - 1
+    return f'{run}.{position}'
 
 
 def main() -> None:
-    """Run the load tool."""
+    """Run the command line."""
     fire.Fire(PlatformLoad(), name='python -m primrosewood.platform.load')
 
 
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -1,7 +1,7 @@
-"""A small deployment on loopback, in one process, for tests of the whole path.
+"""A small deployment in one process, for tests of the whole request path.
 
-Entry and endpoint nodes as they are started there, against stand-ins of the
-key-value service, engines and plain services; each VM is a loopback address.
+Runs entry and endpoint nodes against stand-ins of the key-value service,
+engines and plain services.  Each VM is a loopback address.
 """
 
 import asyncio
@@ -36,11 +36,13 @@
     cold_factor=1.5,
     cold_slack=5,
 )
-KEY = {'Authorization': 'Bearer key-1'}
-GUIDE = {'Primrosewood-Token-Usage': '1000,80', **KEY}
+# Headers with the API key, and those of a request for a generation.
+KEY_HEADERS = {'Authorization': 'Bearer key-1'}
+GUIDE = {'Primrosewood-Token-Usage': '1000,80', **KEY_HEADERS}
 
 
 def make_table(version=1, keys=('key-1',), prefix='/lookup/', **limits):
+    """Return a route table; ``prefix`` is the path of the look-up route."""
     return {
         'version': version,
         'routes': [
@@ -66,7 +68,23 @@
 
 
 class Deployment(unittest.IsolatedAsyncioTestCase):
-    """Two engines with their endpoint processes, one service, one entry."""
+    """Runs two engines with their endpoint nodes, one service and one entry.
+
+    Attributes
+    ----------
+    stand_in
+        The key-value service.
+    engines
+        Engine stand-ins by name.
+    service
+        The plain service.
+    callers, ready, peers
+        Addresses of the entry that was started last.
+    entry
+        Task that runs the first entry.
+    stop
+        Stops the first entry.
+    """
 
     async def asyncSetUp(self):
         self.link_port = free_port()
@@ -93,20 +111,23 @@
         await self.wait_ready()
 
     async def serve(self, app, address):
+        """Serve an application or a request handler until the test ends."""
         if isinstance(app, web.Application):
-            runner = web.AppRunner(app, shutdown_timeout=0.1)
+            server_runner = web.AppRunner(app, shutdown_timeout=0.1)
         else:
             server = web.Server(app, handler_cancellation=True)
-            runner = web.ServerRunner(server, shutdown_timeout=0.1)
-        await runner.setup()
-        self.stack.push_async_callback(runner.cleanup)
+            server_runner = web.ServerRunner(server, shutdown_timeout=0.1)
+        await server_runner.setup()
+        self.stack.push_async_callback(server_runner.cleanup)
         host, _, port = address.partition(':')
-        await web.TCPSite(runner, host, int(port)).start()
+        await web.TCPSite(server_runner, host, int(port)).start()
 
     async def put(self, key, document):
+        """Write a JSON document to the key-value service."""
         await self.stand_in.store.put(key, json.dumps(document).encode())
 
     async def add(self, name, service, back_end, host, port=0):
+        """Serve a back end, register it and return its address."""
         address = f'{host}:{port or free_port()}'
         await self.serve(back_end.handle, address)
         await self.register(name, service, address)
@@ -117,6 +138,7 @@
         await self.put(f'servers/{name}', record)
 
     async def add_engine(self, name, host, seeds=(), register=True):
+        """Start an engine and its endpoint node."""
         address = f'{host}:{free_port()}'
         engine = EngineStandIn(name, address, self.copies)
         self.engines[name] = engine
@@ -155,7 +177,7 @@
         return self.run_node(EntryNode(settings), stop)
 
     async def add_entry(self, name):
-        """Start one more entry; calls go to it from now on."""
+        """Start another entry; later calls go to it."""
         self.callers = f'127.0.0.1:{free_port()}'
         self.ready = f'127.0.0.1:{free_port()}'
         settings = self.make_settings(
@@ -171,18 +193,20 @@
         await self.wait_ready()
 
     def run_node(self, node, stop):
+        """Run a node until the test ends; return its task."""
         task = asyncio.create_task(node.run(stop))
 
-        async def end():
+        async def stop_node():
             stop.set()
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await task
 
-        self.stack.push_async_callback(end)
+        self.stack.push_async_callback(stop_node)
         return task
 
     async def wait_for(self, condition, seconds=10):
+        """Wait until an asynchronous condition is true."""
         async with asyncio.timeout(seconds):
             while not await condition():
                 await asyncio.sleep(0.02)
@@ -199,7 +223,13 @@
     async def wait_ready(self):
         await self.wait_for(self.is_ready)
 
-    async def call(self, method, path, name='ab12', headers=KEY, **fields):
+    async def call(
+        self, method, path, name='ab12', headers=KEY_HEADERS, **fields
+    ):
+        """Send a request to the entry; return the response and its body.
+
+        ``name`` is the attempt id.
+        """
         async with self.session.request(
             method,
             URL(f'http://{self.callers}{path}', encoded=True),
@@ -214,5 +244,6 @@
             return response, await response.read()
 
     async def status(self, *args, **fields):
+        """Send a request to the entry; return the response's status."""
         response, _body = await self.call(*args, **fields)
         return response.status
--- a/tests/test_platform_engines.py
+++ b/tests/test_platform_engines.py
@@ -1,4 +1,4 @@
-"""Calls to back ends that misbehave, against small raw servers."""
+"""HttpTransport against raw TCP servers that send faulty responses."""
 
 import asyncio
 import socket
@@ -14,27 +14,31 @@
 from primrosewood.routes import Route, RouteKind, Target
 from primrosewood.shares import ColdLimit, EntryCount
 
-HEAD = b'HTTP/1.1 200 OK\r\n'
-MARKS = b'Primrosewood-Attempt-Id: ab12\r\nPrimrosewood-Response-Seal: s\r\n'
-SIZED = b'Content-Length: 5\r\n\r\n'
-WHOLE = HEAD + MARKS + SIZED + b'whole'
+STATUS_LINE = b'HTTP/1.1 200 OK\r\n'
+RESPONSE_HEADERS = (
+    b'Primrosewood-Attempt-Id: ab12\r\nPrimrosewood-Response-Seal: s\r\n'
+)
+LENGTH_HEADER = b'Content-Length: 5\r\n\r\n'
+COMPLETE_RESPONSE = STATUS_LINE + RESPONSE_HEADERS + LENGTH_HEADER + b'whole'
 ROUTE = Route('r', 'h', '/', RouteKind.idempotent, (Target('s'),), 2, 0.2)
 
 
 class TransportTest(unittest.IsolatedAsyncioTestCase):
-    """What comes back from one raw answer."""
+    """Outcome of one call for each kind of response."""
 
     async def asyncSetUp(self):
-        self.limits = []
-        self.transport = HttpTransport(SystemClock(), self.note_limit)
+        self.rate_limits = []
+        self.transport = HttpTransport(SystemClock(), self.on_rate_limit)
         self.addAsyncCleanup(self.transport.close)
         self.received = []
         self.connections = 0
 
-    def note_limit(self, _backend, rate, _sent_at):
-        self.limits.append(rate)
+    def on_rate_limit(self, _backend, rate, _sent_at):
+        self.rate_limits.append(rate)
 
     async def serve(self, answer, reset=False):
+        """Start a server that sends fixed bytes; return its address."""
+
         async def handle(reader, writer):
             self.connections += 1
             head = await reader.readuntil(b'\r\n\r\n')
@@ -44,12 +48,12 @@
             writer.write(answer)
             await writer.drain()
             if reset:
-                # What was written arrives first, then the reset.
+                # Leaves time for the bytes to arrive before the reset.
                 await asyncio.sleep(0.05)
-                linger = struct.pack('ii', 1, 0)
+                no_linger = struct.pack('ii', 1, 0)
                 connection = writer.get_extra_info('socket')
                 connection.setsockopt(
-                    socket.SOL_SOCKET, socket.SO_LINGER, linger
+                    socket.SOL_SOCKET, socket.SO_LINGER, no_linger
                 )
             writer.close()
 
@@ -81,92 +85,98 @@
         async with self.transport.send(call, Leg(backend, resumption)) as reply:
             return b''.join([part async for part in reply.parts()])
 
-    async def test_whole_answer(self):
-        address = await self.serve(WHOLE)
+    async def test_complete_response(self):
+        address = await self.serve(COMPLETE_RESPONSE)
         self.assertEqual(b'whole', await self.fetch(address))
 
-    async def test_answer_without_length_that_is_reset(self):
-        """An engine's answer has no length and its connection is reset.
+    async def test_reset_ends_a_response_without_length(self):
+        """Guards against a truncated response that passes as complete.
 
-        The HTTP library takes the reset for the end, so half a certificate
-        would pass as a whole one.
+        aiohttp takes a reset for the end of a response without a length.
         """
-        address = await self.serve(HEAD + MARKS + b'\r\nhalf', reset=True)
+        address = await self.serve(
+            STATUS_LINE + RESPONSE_HEADERS + b'\r\nhalf', reset=True
+        )
         with self.assertRaises(BackendCutError):
             await self.fetch(address)
 
-    async def test_answer_without_length_that_ends(self):
-        address = await self.serve(HEAD + MARKS + b'\r\nall')
+    async def test_close_ends_a_response_without_length(self):
+        address = await self.serve(STATUS_LINE + RESPONSE_HEADERS + b'\r\nall')
         self.assertEqual(b'all', await self.fetch(address))
 
-    async def test_answers_that_do_not_count(self):
-        """Answers of other calls, without a seal, or spoiled on the way."""
-        other = MARKS.replace(b'ab12', b'cd34')
-        encoded = MARKS + b'Content-Encoding: gzip\r\n'
-        promise = b'HTTP/1.1 503 Busy\r\n' + MARKS + SIZED + b'sorry'
+    async def test_invalid_responses(self):
+        """Responses to other calls, without a seal, or altered on the way."""
+        other_call_headers = RESPONSE_HEADERS.replace(b'ab12', b'cd34')
+        encoded_headers = RESPONSE_HEADERS + b'Content-Encoding: gzip\r\n'
+        unmarked_refusal = (
+            b'HTTP/1.1 503 Busy\r\n'
+            + RESPONSE_HEADERS
+            + LENGTH_HEADER
+            + b'sorry'
+        )
         for answer in (
-            HEAD + other + SIZED + b'whole',
-            HEAD + SIZED + b'whole',
-            HEAD + encoded + SIZED + b'whole',
-            HEAD + MARKS + SIZED + b'wh',
+            STATUS_LINE + other_call_headers + LENGTH_HEADER + b'whole',
+            STATUS_LINE + LENGTH_HEADER + b'whole',
+            STATUS_LINE + encoded_headers + LENGTH_HEADER + b'whole',
+            STATUS_LINE + RESPONSE_HEADERS + LENGTH_HEADER + b'wh',
             b'garbage\r\n\r\n',
             b'',
-            promise,
+            unmarked_refusal,
         ):
             with self.subTest(answer), self.assertRaises(BackendCutError):
                 await self.fetch(await self.serve(answer))
 
-    async def test_answers_that_say_it_did_not_run(self):
-        marked = b'HTTP/1.1 503 Busy\r\nPrimrosewood-Not-Executed: 1\r\n'
-        other = b'HTTP/1.1 421 Misdirected Request\r\n'
-        for head in (marked, other):
-            address = await self.serve(head + SIZED + b'sorry')
+    async def test_responses_that_say_the_call_did_not_run(self):
+        not_executed = b'HTTP/1.1 503 Busy\r\nPrimrosewood-Not-Executed: 1\r\n'
+        misdirected = b'HTTP/1.1 421 Misdirected Request\r\n'
+        for head in (not_executed, misdirected):
+            address = await self.serve(head + LENGTH_HEADER + b'sorry')
             with self.subTest(head), self.assertRaises(NotRunError):
                 await self.fetch(address)
 
     async def test_limits_that_answers_name(self):
-        """Guards against limits of stray answers, or lifted by failures."""
+        """Guards against limits that stray or failed responses set or lift."""
         limit = b'Server-Limit: 1.8\r\n'
-        other = MARKS.replace(b'ab12', b'cd34')
-        marked = b'HTTP/1.1 503 Busy\r\nPrimrosewood-Not-Executed: 1\r\n'
-        failure = b'HTTP/1.1 500 Failed\r\n' + MARKS
-        for head, told in (
-            (HEAD + MARKS + limit, [1.8]),
-            (HEAD + MARKS, [None]),
-            (HEAD + MARKS + b'Server-Limit: nan\r\n', []),
-            (HEAD + MARKS + b'Server-Limit: -1\r\n', []),
-            (marked + limit, [1.8]),
-            (marked, []),
+        other_call_headers = RESPONSE_HEADERS.replace(b'ab12', b'cd34')
+        not_executed = b'HTTP/1.1 503 Busy\r\nPrimrosewood-Not-Executed: 1\r\n'
+        failure = b'HTTP/1.1 500 Failed\r\n' + RESPONSE_HEADERS
+        for head, expected in (
+            (STATUS_LINE + RESPONSE_HEADERS + limit, [1.8]),
+            (STATUS_LINE + RESPONSE_HEADERS, [None]),
+            (STATUS_LINE + RESPONSE_HEADERS + b'Server-Limit: nan\r\n', []),
+            (STATUS_LINE + RESPONSE_HEADERS + b'Server-Limit: -1\r\n', []),
+            (not_executed + limit, [1.8]),
+            (not_executed, []),
             (failure + limit, [1.8]),
             (failure, []),
-            (HEAD + other + limit, []),
+            (STATUS_LINE + other_call_headers + limit, []),
             (b'HTTP/1.1 421 Misdirected Request\r\n' + limit, []),
-            (HEAD + SIZED.strip() + b'\r\n', []),
+            (STATUS_LINE + LENGTH_HEADER.strip() + b'\r\n', []),
         ):
-            self.limits.clear()
-            address = await self.serve(head + SIZED + b'whole')
+            self.rate_limits.clear()
+            address = await self.serve(head + LENGTH_HEADER + b'whole')
             with suppress(BackendCutError, NotRunError):
                 await self.fetch(address)
             with self.subTest(head):
-                self.assertEqual(told, self.limits)
+                self.assertEqual(expected, self.rate_limits)
 
-    async def test_nobody_listens(self):
-        """Nothing was written, so it certainly did not run."""
+    async def test_connection_refused(self):
+        """Nothing was written, so the call certainly did not run."""
         with self.assertRaises(NotRunError):
             await self.fetch('127.0.0.1:1')
 
     async def test_nothing_is_sent_twice(self):
-        """A back end closes before it answers.
+        """A back end closes the connection before it responds.
 
-        The HTTP library would send a GET again by itself.
+        aiohttp retries a GET by itself unless it is kept from doing so.
         """
         address = await self.serve(b'')
         with self.assertRaises(BackendCutError):
             await self.fetch(address)
         self.assertEqual(1, self.connections)
 
-    async def test_call_is_carried_byte_for_byte(self):
-        address = await self.serve(WHOLE)
+    async def test_call_is_forwarded_byte_for_byte(self):
+        address = await self.serve(COMPLETE_RESPONSE)
         await self.fetch(
             address,
             method='POST',
@@ -182,8 +192,8 @@
         for name in (b'User-Agent', b'Accept', b'Content-Type', b'Cookie'):
             self.assertNotIn(name, head)
 
-    async def test_headers_of_the_system(self):
-        address = await self.serve(WHOLE)
+    async def test_headers_added_by_the_transport(self):
+        address = await self.serve(COMPLETE_RESPONSE)
         await self.fetch(address, Resumption('1.2.3.4:5', 'h-7', 12))
         head = self.received[0].decode()
         self.assertIn('Primrosewood-Expect-Instance: i-1\r\n', head)
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -1,24 +1,25 @@
-"""Which headers pass from callers to back ends."""
+"""Forwarding and parsing of headers."""
 
 import unittest
 
 from primrosewood.platform.headers import (
-    drop_hop_headers,
+    drop_hop_by_hop_headers,
+    filter_caller_headers,
     find_header,
-    keep_caller_headers,
     parse_deadline,
     parse_size,
 )
 
 
 class CallerHeadersTest(unittest.TestCase):
-    """What a caller may say to a back end."""
+    """Headers that are forwarded from a caller to a back end."""
 
-    def test_what_only_the_system_may_set(self):
-        """A caller sends the system's own headers.
+    def test_reserved_headers_are_dropped(self):
+        """Guards against forged headers that reach an engine.
 
-        It would hold memory at an engine, go on from another caller's copy or
-        pass for another organisation, and its key would reach the engine.
+        With them a caller could hold engine memory, resume from another
+        caller's KV cache or impersonate another organisation.  Its API key
+        must not reach the engine either.
         """
         forged = (
             'Primrosewood-Hold',
@@ -34,9 +35,9 @@
             'Authorization',
         )
         sent = [(name, 'x') for name in forged]
-        self.assertEqual((), keep_caller_headers(sent))
+        self.assertEqual((), filter_caller_headers(sent))
 
-    def test_headers_of_one_connection(self):
+    def test_hop_by_hop_headers_are_dropped(self):
         sent = [
             ('Connection', 'close, X-Mine'),
             ('X-Mine', '1'),
@@ -46,17 +47,17 @@
             ('Accept', 'b'),
         ]
         self.assertEqual(
-            (('Accept', 'a'), ('Accept', 'b')), drop_hop_headers(sent)
+            (('Accept', 'a'), ('Accept', 'b')), drop_hop_by_hop_headers(sent)
         )
 
-    def test_first_of_a_name(self):
+    def test_first_header_of_a_name(self):
         sent = [('X-A', '1'), ('x-a', '2')]
         self.assertEqual('1', find_header(sent, 'x-A'))
         self.assertEqual('', find_header(sent, 'Y'))
 
 
 class ParsingTest(unittest.TestCase):
-    """Numbers in headers."""
+    """Parsing of numbers in headers."""
 
     def test_deadlines(self):
         self.assertEqual(1.5, parse_deadline('1500'))
@@ -69,8 +70,10 @@
         self.assertEqual(
             (1460, 80, 0), (size.prompt_tokens, size.most_tokens, size.hint)
         )
-        hinted = parse_size([(name, '1,2'), ('Primrosewood-Length-Hint', '7')])
-        self.assertEqual(7, hinted.hint)
+        with_hint = parse_size(
+            [(name, '1,2'), ('Primrosewood-Length-Hint', '7')]
+        )
+        self.assertEqual(7, with_hint.hint)
         self.assertIsNone(parse_size([]))
         self.assertIsNone(parse_size([(name, 'many,80')]))
         self.assertEqual(0, parse_size([(name, '5')]).most_tokens)
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the users' platform, on loopback in one process."""
+"""Requests through an entry to back ends and engines of the platform."""
 
 import asyncio
 from unittest import mock
@@ -7,13 +7,14 @@
 
 from standins.backends import ServiceStandIn
 
-from .deployment import GUIDE, KEY, Deployment, make_table
+from .deployment import GUIDE, KEY_HEADERS, Deployment, make_table
 
-NAMED = b'Primrosewood-Attempt-Id: ef56\r\n\r\n'
+# Ends the head of a request.
+LAST_HEADER = b'Primrosewood-Attempt-Id: ef56\r\n\r\n'
 
 
 class PathTest(Deployment):
-    """Requests of all kinds, answered whole."""
+    """Requests of each kind, and requests that are refused."""
 
     async def test_all_kinds(self):
         response, body = await self.call('POST', '/guide/1', headers=GUIDE)
@@ -34,39 +35,49 @@
         self.assertEqual(200, await self.status('GET', '/lookup/x'))
 
     async def test_what_is_not_allowed(self):
-        bad = {'Authorization': 'Bearer other'}
+        unknown_key = {'Authorization': 'Bearer other'}
         self.assertEqual(404, await self.status('GET', '/nowhere/'))
-        self.assertEqual(401, await self.status('GET', '/lookup/', headers=bad))
+        self.assertEqual(
+            401, await self.status('GET', '/lookup/', headers=unknown_key)
+        )
         self.assertEqual(401, await self.status('GET', '/lookup/', headers={}))
         self.assertEqual(200, await self.status('GET', '/open/', headers={}))
         self.assertNotIn('Primrosewood-Tenant', self.service.ran[-1].headers)
-        large = b'x' * 20_000
-        self.assertEqual(413, await self.status('POST', '/issue/', data=large))
-        wide = {'X-Wide': 'x' * 5000, **KEY}
-        self.assertEqual(431, await self.status('GET', '/open/', headers=wide))
+        large_body = b'x' * 20_000
+        self.assertEqual(
+            413, await self.status('POST', '/issue/', data=large_body)
+        )
+        large_headers = {'X-Wide': 'x' * 5000, **KEY_HEADERS}
+        self.assertEqual(
+            431, await self.status('GET', '/open/', headers=large_headers)
+        )
         self.assertEqual(400, await self.status('GET', '/open/', name=''))
         self.assertEqual(1, len(self.service.ran))
 
-    async def test_ambiguous_framing(self):
-        """A caller hides a second request in the body of the first.
+    async def test_request_smuggling(self):
+        """Guards against a request that is hidden in another one's body.
 
-        A back end that reads the lengths the other way would run it.
+        The request has a Content-Length and is chunked as well.  A back end
+        that takes the length from the other header would run the hidden one.
         """
         reader, writer = await asyncio.open_connection(*self.callers.split(':'))
-        hidden = b'GET /open/hidden HTTP/1.1\r\nHost: h.example\r\n\r\n'
+        smuggled = b'GET /open/hidden HTTP/1.1\r\nHost: h.example\r\n\r\n'
         writer.write(
             b'POST /open/ HTTP/1.1\r\nHost: h.example\r\n'
             b'Primrosewood-Attempt-Id: ef56\r\nContent-Length: 4\r\n'
-            b'Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n' + hidden
+            b'Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n' + smuggled
         )
         async with asyncio.timeout(5):
-            answer = await reader.read(12)
+            response_start = await reader.read(12)
         writer.close()
-        self.assertTrue(answer.endswith(b' 400'))
+        self.assertTrue(response_start.endswith(b' 400'))
         self.assertEqual([], self.service.ran)
 
-    async def open_head(self, *parts):
-        """Return what comes back for a head that is sent in parts."""
+    async def send_parts(self, *parts):
+        """Send a request's head in parts.
+
+        Return the first bytes of the response and the connection's reader.
+        """
         reader, writer = await asyncio.open_connection(*self.callers.split(':'))
         self.addCleanup(writer.close)
         for part in parts:
@@ -76,50 +87,56 @@
             return await reader.read(12), reader
 
     async def test_slow_head(self):
-        """A stranger opens connections and sends half a head on each.
+        """Guards against connections that stay open with an incomplete head.
 
-        Nothing ended them, so that the entry ran out of descriptors. The
-        refusal is true: nothing of the request was handed on.
+        Nothing closed them, so that a client could use up the entry's file
+        descriptors.  The 408 is correct, as no back end got the request.
         """
         await self.put('op/config', make_table(2, header_timeout_ms=200))
         await asyncio.sleep(0.9)
-        half = b'GET /open/ HTTP/1.1\r\nHost: h.exa'
-        answer, reader = await self.open_head(half)
-        self.assertEqual(b'HTTP/1.1 408', answer)
+        incomplete_head = b'GET /open/ HTTP/1.1\r\nHost: h.exa'
+        response_start, reader = await self.send_parts(incomplete_head)
+        self.assertEqual(b'HTTP/1.1 408', response_start)
         async with asyncio.timeout(5):
             await reader.read()
         self.assertEqual([], self.service.ran)
 
-    async def test_slow_head_after_a_whole_request(self):
+    async def test_slow_head_on_a_reused_connection(self):
         await self.put('op/config', make_table(2, header_timeout_ms=200))
         await asyncio.sleep(0.9)
-        whole = b'GET /nowhere/ HTTP/1.1\r\nHost: h.example\r\n' + NAMED
-        answer, reader = await self.open_head(whole, b'GET /open/ HT')
-        self.assertEqual(b'HTTP/1.1 404', answer)
+        complete_request = (
+            b'GET /nowhere/ HTTP/1.1\r\nHost: h.example\r\n' + LAST_HEADER
+        )
+        response_start, reader = await self.send_parts(
+            complete_request, b'GET /open/ HT'
+        )
+        self.assertEqual(b'HTTP/1.1 404', response_start)
         async with asyncio.timeout(5):
             self.assertIn(b'HTTP/1.1 408', await reader.read())
 
-    async def test_head_in_parts_and_an_idle_connection(self):
-        """A caller sends its head in two packets and keeps the connection."""
+    async def test_head_in_two_packets_and_an_idle_connection(self):
+        """The timeout of heads must not apply to an idle connection."""
         await self.put('op/config', make_table(2, header_timeout_ms=200))
         await asyncio.sleep(0.9)
-        answer, reader = await self.open_head(
-            b'GET /nowhere/ HTTP/1.1\r\nHost', b': h.example\r\n' + NAMED
+        response_start, reader = await self.send_parts(
+            b'GET /nowhere/ HTTP/1.1\r\nHost', b': h.example\r\n' + LAST_HEADER
         )
-        self.assertEqual(b'HTTP/1.1 404', answer)
+        self.assertEqual(b'HTTP/1.1 404', response_start)
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(0.6):
                 await reader.readuntil(b'HTTP/1.1 408')
 
     async def test_spoiled_body(self):
-        """A caller's body breaks its own framing halfway.
+        """Guards against a body that keeps a request open for ever.
 
-        The HTTP library says nothing of it and the body never ends; a caller
-        that sends slowly looks the same. Neither may hold on for ever.
+        aiohttp reports no error for a body with invalid framing, which then
+        never ends, just as a body that is sent too slowly.
         """
-        patched = mock.patch('primrosewood.platform.front._BODY_SECONDS', 0.2)
-        patched.start()
-        self.addCleanup(patched.stop)
+        patcher = mock.patch(
+            'primrosewood.platform.frontend._BODY_TIMEOUT_SECONDS', 0.2
+        )
+        patcher.start()
+        self.addCleanup(patcher.stop)
         reader, writer = await asyncio.open_connection(*self.callers.split(':'))
         writer.write(
             b'POST /open/ HTTP/1.1\r\nHost: h.example\r\n'
@@ -129,28 +146,28 @@
         await asyncio.sleep(0.05)
         writer.write(b'zz\r\nnot a chunk\r\n')
         async with asyncio.timeout(5):
-            answer = await reader.read(12)
+            response_start = await reader.read(12)
         writer.close()
-        self.assertTrue(answer.endswith(b' 408'), answer)
+        self.assertTrue(response_start.endswith(b' 408'), response_start)
         self.assertEqual([], self.service.ran)
 
     async def test_host_with_port_and_capitals(self):
-        """Host names are the same in any case, and a port may follow."""
-        headers = {**KEY, 'Host': 'H.Example:80'}
+        """Routes match host names in any case, with or without a port."""
+        headers = {**KEY_HEADERS, 'Host': 'H.Example:80'}
         self.assertEqual(
             200, await self.status('GET', '/lookup/', headers=headers)
         )
 
     async def test_new_version_is_in_force(self):
-        """Operators move a route and take a key away."""
+        """Operators move a route and replace a key; older tables are ignored."""
         self.stand_in.faults.mute_watches = True
         await self.put(
             'op/config', make_table(9, keys=('key-2',), prefix='/moved/')
         )
 
         async def is_moved():
-            new = {'Authorization': 'Bearer key-2'}
-            return await self.status('GET', '/moved/', headers=new) == 200
+            new_key = {'Authorization': 'Bearer key-2'}
+            return await self.status('GET', '/moved/', headers=new_key) == 200
 
         await self.wait_for(is_moved, seconds=2)
         self.assertEqual(401, await self.status('GET', '/moved/'))
@@ -158,8 +175,8 @@
         await asyncio.sleep(1)
         self.assertEqual(401, await self.status('GET', '/moved/'))
 
-    async def test_records_of_other_writers(self):
-        """Bytes that name no engine stand among the records."""
+    async def test_invalid_records(self):
+        """Other programs write invalid records below the back ends' prefix."""
         await self.stand_in.store.put('servers/odd', b'\xff\x00')
         await self.put('servers/other', {'service': 'desk', 'state': 5})
         await asyncio.sleep(1)
@@ -176,12 +193,12 @@
 
 
 class LeavingTest(Deployment):
-    """Engines, domains and entries that go."""
+    """Engines, failure domains, entries and stores that become unavailable."""
 
-    async def read_guide(self, events=100):
+    async def start_guide(self, events=100):
         for engine in self.engines.values():
             engine.events = events
-        reading = asyncio.create_task(
+        guide_call = asyncio.create_task(
             self.call('POST', '/guide/1', headers=GUIDE)
         )
         async with asyncio.timeout(5):
@@ -189,52 +206,52 @@
                 await asyncio.sleep(0.01)
         await asyncio.sleep(0.3)
         engine = next(each for each in self.engines.values() if each.ran)
-        return reading, engine
+        return guide_call, engine
 
-    def whole_guide(self, events):
+    def make_guide_body(self, events):
         return ''.join(
             f'id: {number}\ndata: ab12\n\n' for number in range(1, events + 1)
         ).encode()
 
     async def test_reclaimed_engine(self):
-        """An engine is reclaimed while somebody reads a guide from it.
+        """The platform takes an engine away while it sends a stream.
 
-        The reader gets every event once, in order, with no long pause.
+        The caller gets every event once and in order.
         """
-        reading, engine = await self.read_guide()
+        guide_call, engine = await self.start_guide()
         engine.leaves_ms = 1800
-        response, body = await reading
+        response, body = await guide_call
         self.assertEqual(200, response.status)
-        self.assertEqual(self.whole_guide(100), body)
+        self.assertEqual(self.make_guide_body(100), body)
         other = next(e for e in self.engines.values() if e is not engine)
         self.assertIn('Kv-From', other.ran[0].headers)
 
-    async def test_engine_whose_record_goes_first(self):
-        """An engine leaves without saying so: its record is just removed.
+    async def test_engine_whose_record_is_removed_first(self):
+        """Guards against a link that ends with its engine's record.
 
-        The link to the process beside it must outlive the record, as the
-        moves are told over it.
+        The record is removed before the engine leaves.  The endpoint process
+        reports moves over its link to the entry, so the link must stay.
         """
-        reading, engine = await self.read_guide()
+        guide_call, engine = await self.start_guide()
         self.stand_in.store.delete(f'servers/{engine.name}')
         await asyncio.sleep(0.8)
         engine.leaves_ms = 1000
-        _response, body = await reading
-        self.assertEqual(self.whole_guide(100), body)
+        _response, body = await guide_call
+        self.assertEqual(self.make_guide_body(100), body)
 
     async def test_crashed_engine(self):
-        """An engine crashes; what was read must not look complete."""
-        reading, engine = await self.read_guide()
+        """An engine crashes; the truncated stream must not look complete."""
+        guide_call, engine = await self.start_guide()
         engine.crash()
         with self.assertRaises(aiohttp.ClientPayloadError):
-            await reading
+            await guide_call
         runs = [ran for each in self.engines.values() for ran in each.ran]
         self.assertEqual(1, len(runs))
 
-    async def test_caller_that_leaves(self):
-        """A reader closes the page; the engine must not work on for it."""
-        reading, engine = await self.read_guide(events=5000)
-        reading.cancel()
+    async def test_caller_disconnects(self):
+        """A caller disconnects; the engine must stop its generation."""
+        guide_call, engine = await self.start_guide(events=5000)
+        guide_call.cancel()
         async with asyncio.timeout(0.5):
             while engine._runs:
                 await asyncio.sleep(0.01)
@@ -255,8 +272,8 @@
 
         await self.wait_for(is_served, seconds=3)
 
-    async def test_store_is_away(self):
-        """The key-value service is away; what is known goes on working."""
+    async def test_store_is_down(self):
+        """Requests are served by the last known routes and back ends."""
         self.stand_in.faults.down = True
         await asyncio.sleep(1)
         self.assertTrue(await self.is_ready())
@@ -266,10 +283,10 @@
         )
 
     async def test_engine_that_cannot_register(self):
-        """Engines are replaced while the key-value service is away.
+        """Engines are replaced while the key-value service is down.
 
-        The new one cannot register; without its announcement no entry would
-        know it, and the guides would go to ever fewer engines.
+        The new one cannot register.  Unless it is announced no entry uses it,
+        and the load goes to fewer and fewer engines.
         """
         self.stand_in.faults.down = True
         await self.add_engine(
@@ -278,22 +295,22 @@
         for engine in list(self.engines.values())[:2]:
             engine.refusing = True
 
-        async def runs_there():
+        async def runs_on_new_engine():
             headers = {**GUIDE, 'Primrosewood-Deadline-Ms': '2000'}
             status = await self.status('POST', '/guide/', headers=headers)
             return status == 200 and bool(self.engines['i-new'].ran)
 
-        await self.wait_for(runs_there)
+        await self.wait_for(runs_on_new_engine)
 
     async def test_planned_stop(self):
-        """An entry is told to stop while a guide and a look-up are out.
+        """An entry is stopped while a stream and a look-up are in flight.
 
-        It is out of rotation at once; both answers are whole, a new request
-        on an open connection is served, and its connection ends after it.
+        It reports not ready at once.  Both responses are complete, and a new
+        request is served, after which its connection closes.
         """
-        reading, _engine = await self.read_guide(events=80)
+        guide_call, _engine = await self.start_guide(events=80)
         self.service.seconds = 0.5
-        looking = asyncio.create_task(self.call('GET', '/lookup/'))
+        lookup_call = asyncio.create_task(self.call('GET', '/lookup/'))
         await asyncio.sleep(0.1)
         self.stop.set()
         await asyncio.sleep(0.1)
@@ -301,15 +318,15 @@
         response, body = await self.call('GET', '/lookup/', name='ef56')
         self.assertEqual((200, b'found'), (response.status, body))
         self.assertEqual('close', response.headers['Connection'])
-        self.assertEqual(200, (await looking)[0].status)
-        self.assertEqual(self.whole_guide(80), (await reading)[1])
+        self.assertEqual(200, (await lookup_call)[0].status)
+        self.assertEqual(self.make_guide_body(80), (await guide_call)[1])
         async with asyncio.timeout(5):
             await self.entry
 
     async def test_silent_service(self):
-        """A service takes a look-up and never answers it.
+        """A back end accepts a look-up and never responds.
 
-        A second endpoint may run it: the caller is answered on time.
+        The look-up is idempotent, so a second one may run it in time.
         """
         other = ServiceStandIn('i-other', b'other')
         await self.add('i-other', 'desk', other, '127.0.0.8')
@@ -321,7 +338,7 @@
 
 
 class NoConfigurationTest(Deployment):
-    """An entry that has just started and has nothing to go by."""
+    """An entry that has started without reading any configuration."""
 
     async def wait_ready(self):
         self.stand_in.faults.down = True
@@ -336,10 +353,10 @@
         await asyncio.sleep(0.3)
         return task
 
-    async def test_it_says_nothing_of_keys_and_routes(self):
-        """All processes are restarted while the key-value service is away.
+    async def test_requests_get_503(self):
+        """All processes are restarted while the key-value service is down.
 
-        A 401 or 404 would be final for the caller; 503 says to come back.
+        A 401 or 404 would be final for the caller; a 503 makes it retry.
         """
         self.assertFalse(await self.is_ready())
         self.assertEqual(503, await self.status('GET', '/lookup/'))
--- a/tests/test_platform_stopping.py
+++ b/tests/test_platform_stopping.py
@@ -1,4 +1,4 @@
-"""Callers of an entry that is being stopped."""
+"""Requests to an entry during its planned stop."""
 
 import asyncio
 import contextlib
@@ -11,37 +11,37 @@
 from primrosewood.platform import entry
 from primrosewood.platform.entry import EntryNode
 
-from .deployment import GUIDE, KEY, LIMITS, Deployment
+from .deployment import GUIDE, KEY_HEADERS, LIMITS, Deployment
 
-# The stop of these tests lasts 4 s; the balancer notices it after 2.6 s.
-_LATE_SECONDS = 2.85
+# The stop of these tests lasts 4 s; the load balancer notices it after 2.6 s.
+_AFTER_DETECTION_SECONDS = 2.85
 
 
 class LateStreamTest(Deployment):
-    """Streams that come when the balancer has noticed the stop."""
+    """Streams that are requested after the load balancer noticed the stop."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
         for engine in self.engines.values():
             engine.events = 300
-        # A reader from before the stop, without whom the entry would end.
-        reading = asyncio.create_task(
+        # A stream from before the stop, which keeps the entry from exiting.
+        stream_call = asyncio.create_task(
             self.call('POST', '/guide/', name='ff00', headers=GUIDE)
         )
-        self.stack.push_async_callback(self.end_reading, reading)
-        await self.wait_for(self.has_run)
+        self.stack.push_async_callback(self.cancel_stream, stream_call)
+        await self.wait_for(self.has_one_run)
         self.stop.set()
-        await asyncio.sleep(_LATE_SECONDS)
+        await asyncio.sleep(_AFTER_DETECTION_SECONDS)
 
-    async def has_run(self):
+    async def has_one_run(self):
         return self.count_runs() == 1
 
-    async def end_reading(self, reading):
-        reading.cancel()
+    async def cancel_stream(self, stream_call):
+        stream_call.cancel()
         with contextlib.suppress(asyncio.CancelledError, aiohttp.ClientError):
-            await reading
+            await stream_call
 
-    async def ask(self, name, hint):
+    async def request_stream(self, name, hint):
         headers = {
             **GUIDE,
             'Primrosewood-Token-Usage': '1000,2000',
@@ -56,69 +56,70 @@
         return sum(len(engine.ran) for engine in self.engines.values())
 
     async def test_answer_much_longer_than_its_hint(self):
-        """A certificate is taken on late in a stop and cut with the process.
+        """Guards against admission by the caller's length hint alone.
 
-        Its caller guesses 10 tokens, which fits in what is left; the answer
-        has 600 and is cut in its middle.
+        10 tokens would fit in the remaining time, but the answer has 600 and
+        would be cut when the process exits.
         """
-        response = await self.ask('ab12', hint=10)
+        response = await self.request_stream('ab12', hint=10)
         self.assertEqual(503, response.status)
         self.assertEqual(1, self.count_runs())
 
-    async def test_caller_that_comes_back_late(self):
-        """A certificate is refused late in a stop, taken on and cut.
+    async def test_caller_that_retries_late(self):
+        """Guards against admission of a late request on its second attempt.
 
-        All entries stop at once, so that the balancer sends the refused
-        caller back here; it is let in although its answer cannot end.
+        When all entries stop at once, the load balancer sends a refused
+        caller back to the same entry, where its answer still cannot end.
         """
         for name in ('ab12', 'cd34'):
-            response = await self.ask(name, hint=1000)
+            response = await self.request_stream(name, hint=1000)
             self.assertEqual(503, response.status)
-            # No later than a third of the 4 s that the caller waits, the
-            # longest that it heeds.
-            wait = float(response.headers['Retry-After'])
-            self.assertAlmostEqual(4 / 3, wait, delta=0.05)
+            # Callers follow a Retry-After of up to a third of their remaining
+            # time, which is 4 s here.
+            retry_after = float(response.headers['Retry-After'])
+            self.assertAlmostEqual(4 / 3, retry_after, delta=0.05)
         self.assertEqual(1, self.count_runs())
 
-    async def ask_label(self):
-        """Ask for a short answer whose first event comes 0.2 s before the end."""
+    async def start_short_stream(self):
+        """Request a short stream that begins 0.2 s before the stop ends."""
         for engine in self.engines.values():
             engine.pause = 0.5
         headers = {**GUIDE, 'Primrosewood-Token-Usage': '1000,20'}
-        asking = asyncio.create_task(
+        pending_call = asyncio.create_task(
             self.call('POST', '/guide/', name='ab12', headers=headers)
         )
-        await self.wait_for(self.has_run_two)
-        return asking
+        await self.wait_for(self.has_two_runs)
+        return pending_call
 
-    async def has_run_two(self):
+    async def has_two_runs(self):
         return self.count_runs() == 2
 
-    async def test_short_answer_that_begins_in_the_last_moment(self):
-        """A label waits for its engine and begins as its entry's stop ends.
+    async def test_short_answer_that_begins_too_late(self):
+        """Guards against a short answer that is cut when the process exits.
 
-        Even a short answer must not be begun when it may not end: its caller
-        gets an error in place of a part.
+        Its caller gets an error in place of a partial answer.
         """
-        asking = await self.ask_label()
-        response, _body = await asking
+        pending_call = await self.start_short_stream()
+        response, _body = await pending_call
         self.assertEqual(502, response.status)
 
-    async def test_short_answer_that_ends_in_the_last_moment(self):
-        """The same, and its engine is quick: the answer is whole."""
-        asking = await self.ask_label()
+    async def test_short_answer_that_ends_in_time(self):
+        """The same with a fast engine, so that the answer is complete."""
+        pending_call = await self.start_short_stream()
         for engine in self.engines.values():
             engine.events = 5
             engine.pause = 0.01
-        response, body = await asking
+        response, body = await pending_call
         self.assertEqual(200, response.status)
         self.assertEqual(5, body.count(b'data:'))
 
 
 class SlowBodyTest(Deployment):
-    """Requests that are still being sent during a stop."""
+    """Requests whose body arrives during a stop."""
+
+    async def send_slowly(self, seconds):
+        """Send a request whose body takes ``seconds``; return the status."""
 
-    async def send(self, seconds):
         async def send_body():
             yield b'as'
             await asyncio.sleep(seconds)
@@ -139,92 +140,92 @@
         return response.status
 
     async def test_body_that_comes_late(self):
-        """A certificate's head comes early in a stop and its body late.
+        """Guards against admission at the time of the head.
 
-        It was judged by the time of its head, when its answer would have
-        ended, and was cut.  Its connection is in use when idle ones close,
-        so that the rest of the body must still be read.
+        The head arrives early in the stop and the body late.  A stream that
+        was admitted by the time of its head would be cut.  The connection is
+        not idle when idle ones close, so the rest of the body must be read.
         """
-        self.assertEqual(503, await self.send(seconds=1.2))
+        self.assertEqual(503, await self.send_slowly(seconds=1.2))
 
     async def test_body_that_never_comes(self):
-        """The stop ends first: the caller hears that nothing ran."""
-        self.assertEqual(408, await self.send(seconds=5))
+        """The stop ends first; the 408 says that nothing ran."""
+        self.assertEqual(408, await self.send_slowly(seconds=5))
 
 
 class EndOfStopTest(Deployment):
-    """Calls that have no answer when the stop ends."""
+    """Calls that are still in flight when the stop ends."""
 
-    async def ask_across_the_stop(self, path, headers):
-        asking = asyncio.create_task(
+    async def call_during_stop(self, path, headers):
+        pending_call = asyncio.create_task(
             self.call('POST', path, headers=headers, data=b'asked')
         )
         await asyncio.sleep(0.3)
         self.stop.set()
-        return (await asking)[0]
+        return (await pending_call)[0]
 
     async def test_service_that_hangs(self):
-        """A reorder hangs at its service while its entry is restarted.
+        """Guards against a connection that closes without a response.
 
-        The entry waited for it to the end and closed the connection without
-        a word: the caller cannot tell that from a network that broke.
+        The service hangs until the entry's stop ends.  The caller could not
+        tell a closed connection from a network failure.
         """
         self.service.seconds = 30
-        response = await self.ask_across_the_stop('/issue/', KEY)
+        response = await self.call_during_stop('/issue/', KEY_HEADERS)
         self.assertEqual(502, response.status)
         self.assertEqual('close', response.headers['Connection'])
 
     async def test_stream_that_has_not_begun(self):
-        """A guide waits for its first event when its entry ends."""
+        """The engine has sent no event when the stop ends."""
         for engine in self.engines.values():
             engine.pause = 30
-        response = await self.ask_across_the_stop('/guide/', GUIDE)
+        response = await self.call_during_stop('/guide/', GUIDE)
         self.assertEqual(502, response.status)
 
     async def test_process_ends_by_itself(self):
-        """A stream outlives the stop, and the platform kills what is left.
+        """Guards against an entry that is killed before it has logged.
 
-        An entry that was still closing its connections then said nothing
-        of the streams it cut, so that nobody could explain them.
+        A stream outlives the stop.  An entry that still closes connections
+        when the platform kills it does not log the streams that it cut.
         """
         for engine in self.engines.values():
             engine.events = 5000
-        reading = asyncio.create_task(
+        stream_call = asyncio.create_task(
             self.call('POST', '/guide/', headers=GUIDE)
         )
         await asyncio.sleep(0.3)
-        told = []
-        sink = logger.add(lambda message: told.append(message.record))
+        records = []
+        sink = logger.add(lambda message: records.append(message.record))
         self.addCleanup(logger.remove, sink)
         self.stop.set()
         async with asyncio.timeout(LIMITS.stop_seconds):
             await self.entry
         with self.assertRaises(aiohttp.ClientPayloadError):
-            await reading
-        ends = [
+            await stream_call
+        failed_calls = [
             record['extra']['pairs']
-            for record in told
+            for record in records
             if record['message'] == 'call_failed'
         ]
-        self.assertEqual(['ab12'], [pairs['request'] for pairs in ends])
-        self.assertGreater(ends[0]['last_event'], 100)
+        self.assertEqual(['ab12'], [pairs['request'] for pairs in failed_calls])
+        self.assertGreater(failed_calls[0]['last_event'], 100)
 
 
 class KeptConnectionTest(Deployment):
-    """Connections that callers keep open while their entry is stopped."""
+    """Persistent connections during a stop."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
         for engine in self.engines.values():
             engine.events = 150
-        # Keeps the entry from ending early.
-        self.reading = asyncio.create_task(
+        # Keeps the entry from exiting early.
+        self.stream_call = asyncio.create_task(
             self.call('POST', '/guide/', name='ff00', headers=GUIDE)
         )
         await asyncio.sleep(0.3)
 
     async def asyncTearDown(self):
-        self.assertEqual(200, (await self.reading)[0].status)
+        self.assertEqual(200, (await self.stream_call)[0].status)
 
     async def open(self):
         host, _colon, port = self.callers.rpartition(':')
@@ -245,12 +246,11 @@
         return head
 
     async def test_idle_connection_ends_when_the_balancer_has_noticed(self):
-        """A caller keeps its connection and uses it again late in a stop.
+        """Guards against idle connections that stay open until the exit.
 
-        The balancer sends new connections elsewhere, but this one stays here:
-        its certificate was refused for want of time, or cut, while other
-        entries could have served it.  Cause: idle connections were kept until
-        the process ended.
+        The load balancer sends only new connections to other entries.  A late
+        request on an old connection would be refused or cut here, although
+        another entry could serve it.
         """
         reader, writer = await self.open()
         await self.look_up(reader, writer, b'ab12')
@@ -263,18 +263,18 @@
         self.assertIn(b'Connection: close', head)
 
     async def test_answer_in_progress_is_whole(self):
-        """A connection whose answer began before the stop ends after it."""
+        """A connection closes after the response that is in progress."""
         reader, writer = await self.open()
         self.service.seconds = 3
-        looking = asyncio.create_task(self.look_up(reader, writer, b'ab12'))
+        lookup_call = asyncio.create_task(self.look_up(reader, writer, b'ab12'))
         await asyncio.sleep(0.1)
         self.stop.set()
-        await looking
+        await lookup_call
         async with asyncio.timeout(0.5):
             self.assertEqual(b'', await reader.read())
 
-    async def test_head_on_its_way(self):
-        """Half a head is in when idle connections are closed."""
+    async def test_incomplete_head(self):
+        """Half a head has arrived when idle connections are closed."""
         reader, writer = await self.open()
         await self.look_up(reader, writer, b'ab12')
         self.stop.set()
@@ -292,25 +292,27 @@
 
 
 class SlowReaderTest(Deployment):
-    """An answer that its caller has yet to read."""
+    """A response that its caller has not read yet."""
 
-    async def test_answer_that_waits_in_the_process(self):
-        """A caller reads slowly, and the rest of its answer is still here.
+    async def test_unsent_data(self):
+        """Guards against an exit that drops data in the write buffers.
 
-        Its handler has returned, so that nothing counted as in progress; the
-        entry ended, and the rest of the answer with it.
+        With a slow caller the handler returns before everything is sent, so
+        the request no longer counts as in progress.
         """
-        with mock.patch.object(entry, 'has_unsent', return_value=True) as asked:
+        with mock.patch.object(
+            entry, 'has_unsent', return_value=True
+        ) as has_unsent_mock:
             self.stop.set()
             await asyncio.sleep(3.2)
             self.assertFalse(self.entry.done())
-            asked.return_value = False
+            has_unsent_mock.return_value = False
             async with asyncio.timeout(0.5):
                 await self.entry
 
 
 class LastRequestTest(Deployment):
-    """A request that comes when nothing is left to do."""
+    """A request to an entry that is idle at the end of its stop."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -337,32 +339,32 @@
         await self.entry
         return head
 
-    async def test_request_that_crosses_the_end(self):
-        """A look-up comes in the moment in which an idle entry ends its stop.
+    async def test_request_as_the_entry_closes(self):
+        """Guards against a request that is read but gets no response.
 
-        It was read and begun, and its connection closed 0.1 s later without
-        an answer.  Cause: the entry looked once whether anything was in
-        progress, and then closed with callers still let in.
+        The entry checked once that nothing was in progress and then closed
+        while it still accepted requests.  The connection of a request that
+        arrived in between closed 0.1 s later.
         """
         close = EntryNode._close
 
-        async def cross(node, *others):
+        async def send_request_first(node, *args):
             await self.send()
-            await close(node, *others)
+            await close(node, *args)
 
-        with mock.patch.object(EntryNode, '_close', cross):
+        with mock.patch.object(EntryNode, '_close', send_request_first):
             self.stop.set()
             head = await self.read_head()
         self.assertIn(b' 502 ', head)
 
     async def test_request_before_the_listener_closes(self):
-        """The same a moment earlier: there is time, so it is answered."""
+        """The same before the listener closes, while there is time to answer."""
 
-        async def cross(runner):
+        async def send_request_first(runner):
             await self.send()
             await stop_listening(runner)
 
-        with mock.patch.object(entry, 'stop_listening', cross):
+        with mock.patch.object(entry, 'stop_listening', send_request_first):
             self.stop.set()
             head = await self.read_head()
         self.assertIn(b' 200 ', head)
