--- a/tests/test_platform_engines.py
+++ b/tests/test_platform_engines.py
@@ -36,7 +36,7 @@
     def on_rate_limit(self, _backend, rate, _sent_at):
         self.rate_limits.append(rate)
 
-    async def serve(self, answer, reset=False):
+    async def serve(self, response, reset=False):
         """Start a server that sends fixed bytes; return its address."""
 
         async def handle(reader, writer):
@@ -45,15 +45,15 @@
             self.received.append(head)
             if b'ontent-Length: 4' in head:
                 self.received.append(await reader.readexactly(4))
-            writer.write(answer)
+            writer.write(response)
             await writer.drain()
             if reset:
                 # Leaves time for the bytes to arrive before the reset.
                 await asyncio.sleep(0.05)
-                no_linger = struct.pack('ii', 1, 0)
+                reset_on_close = struct.pack('ii', 1, 0)
                 connection = writer.get_extra_info('socket')
                 connection.setsockopt(
-                    socket.SOL_SOCKET, socket.SO_LINGER, no_linger
+                    socket.SOL_SOCKET, socket.SO_LINGER, reset_on_close
                 )
             writer.close()
 
@@ -89,7 +89,7 @@
         address = await self.serve(COMPLETE_RESPONSE)
         self.assertEqual(b'whole', await self.fetch(address))
 
-    async def test_reset_ends_a_response_without_length(self):
+    async def test_reset_truncates_a_response_without_length(self):
         """Guards against a truncated response that passes as complete.
 
         aiohttp takes a reset for the end of a response without a length.
@@ -114,7 +114,7 @@
             + LENGTH_HEADER
             + b'sorry'
         )
-        for answer in (
+        for response in (
             STATUS_LINE + other_call_headers + LENGTH_HEADER + b'whole',
             STATUS_LINE + LENGTH_HEADER + b'whole',
             STATUS_LINE + encoded_headers + LENGTH_HEADER + b'whole',
@@ -123,8 +123,8 @@
             b'',
             unmarked_refusal,
         ):
-            with self.subTest(answer), self.assertRaises(BackendCutError):
-                await self.fetch(await self.serve(answer))
+            with self.subTest(response), self.assertRaises(BackendCutError):
+                await self.fetch(await self.serve(response))
 
     async def test_responses_that_say_the_call_did_not_run(self):
         not_executed = b'HTTP/1.1 503 Busy\r\nPrimrosewood-Not-Executed: 1\r\n'
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -326,7 +326,7 @@
     async def test_silent_service(self):
         """A back end accepts a look-up and never responds.
 
-        The look-up is idempotent, so a second one may run it in time.
+        The look-up is idempotent, so another back end may run it in time.
         """
         other = ServiceStandIn('i-other', b'other')
         await self.add('i-other', 'desk', other, '127.0.0.8')
--- a/tests/test_platform_stopping.py
+++ b/tests/test_platform_stopping.py
@@ -211,7 +211,7 @@
         self.assertGreater(failed_calls[0]['last_event'], 100)
 
 
-class KeptConnectionTest(Deployment):
+class PersistentConnectionTest(Deployment):
     """Persistent connections during a stop."""
 
     async def asyncSetUp(self):
