--- a/bench/world.py
+++ b/bench/world.py
@@ -251,7 +251,7 @@
             if view is None:
                 view = EndpointView(_member(node))
                 self.views[name] = view
-            view.take_load(node.load())
+            view.update_load(node.load())
         self.usable = [
             view
             for view in self.views.values()
@@ -363,7 +363,7 @@
         for entry in self.entries:
             if entry.name == job.entry:
                 view = entry.views[node.name]
-                view.take_load(node.load())
+                view.update_load(node.load())
                 view.outstanding -= 1
 
     def take_out(self, domain: str) -> None:
@@ -419,13 +419,13 @@
         try:
             node.offer(job)
         except NotRunError as error:
-            view.take_load(node.load())
+            view.update_load(node.load())
             job.refusals += 1
             self._offer_elsewhere(
                 job, entry, {*tried, node.name}, error.retry_seconds
             )
             return
-        view.take_load(node.load())
+        view.update_load(node.load())
         view.outstanding += 1
         job.entry = entry.name
 
--- a/primrosewood/entry.py
+++ b/primrosewood/entry.py
@@ -15,7 +15,7 @@
 from .claims import ClaimKeeper
 from .clock import SystemClock, make_random
 from .codec import Message
-from .config import ProcessConfig, make_contexts
+from .config import ProcessConfig, make_tls_contexts
 from .dispatch import Dispatcher
 from .etcd import EtcdKeyValue
 from .fleet import ENTRY_SERVICE, Fleet
@@ -31,9 +31,9 @@
 from .progress import EntryContext
 from .routing import make_policy
 from .settings import SETTINGS_PREFIX, SettingsStore
-from .unsent import has_unsent
-from .vmlist import HttpVmList
-from .watcher import Watcher, WatchPace
+from .unsent import has_unsent_data
+from .vmlist import VmListPoller
+from .watcher import Watcher, PollSchedule
 
 __all__ = ('EntryProcess', 'main', 'run')
 
@@ -61,7 +61,7 @@
         self._fleet = Fleet(
             settings.name, self._store, self._clock, settings.timing
         )
-        self._server_tls, client_tls = make_contexts(
+        self._server_tls, client_tls = make_tls_contexts(
             settings.tls, config.folder
         )
         self._incarnation = make_identifier()
@@ -122,14 +122,14 @@
         settings = Watcher(
             self._key_value,
             SETTINGS_PREFIX,
-            WatchPace(timing.poll_seconds),
-            self._store.take_pair,
+            PollSchedule(timing.poll_seconds),
+            self._store.apply_pair,
         )
         members = Watcher(
             self._key_value,
             MEMBERS_PREFIX,
-            WatchPace(timing.poll_seconds),
-            self._fleet.take_pair,
+            PollSchedule(timing.poll_seconds),
+            self._fleet.apply_pair,
         )
         tasks = [
             spawn(settings.run(), 'settings'),
@@ -146,11 +146,11 @@
             tasks.append(spawn(self._make_vm_list().run(), 'vm list'))
         return tasks
 
-    def _make_vm_list(self) -> HttpVmList:
-        return HttpVmList(
+    def _make_vm_list(self) -> VmListPoller:
+        return VmListPoller(
             self._settings.vm_list_url,
             self._settings.timing.vm_list_seconds,
-            self._fleet.take_vms,
+            self._fleet.apply_vm_list,
         )
 
     def _make_claims(self) -> ClaimRouter:
@@ -258,7 +258,7 @@
         # Deaths show by silence, which brings no change of a record.
         while True:
             await asyncio.sleep(_REBUILD_SECONDS)
-            if self._fleet.forget_dead():
+            if self._fleet.remove_dead_members():
                 self._relink()
 
     async def _drain(self, *runners: web.AppRunner) -> None:
@@ -283,7 +283,7 @@
     def _has_work(self, runners: tuple[web.AppRunner, ...]) -> bool:
         if self._callers.active or self._administration.active:
             return True
-        return any(has_unsent(runner) for runner in runners)
+        return any(has_unsent_data(runner) for runner in runners)
 
 
 def run(settings: str, check: bool = False) -> None:
--- a/primrosewood/platform/discovery.py
+++ b/primrosewood/platform/discovery.py
@@ -46,7 +46,7 @@
         self._on_change = on_change
         self._store_available: bool | None = None
 
-    def take_pair(self, key: str, pair: Pair | None) -> None:
+    def apply_pair(self, key: str, pair: Pair | None) -> None:
         """Apply a key's new value, None for a deletion.
 
         Keys that no entry uses are ignored.
@@ -59,9 +59,9 @@
             name = key.removeprefix(documents.BACKENDS_PREFIX)
             self._apply_backend(name, pair)
 
-    def note_store(self, available: bool) -> None:
+    def record_store_result(self, available: bool) -> None:
         """Record whether the key-value service answered the last call."""
-        self._backends.note_store(available, self._clock.monotonic())
+        self._backends.record_store_result(available, self._clock.monotonic())
         if available != self._store_available:
             self._store_available = available
             log_event('store_regained' if available else 'store_lost')
--- a/primrosewood/platform/endpoint.py
+++ b/primrosewood/platform/endpoint.py
@@ -11,7 +11,7 @@
 from ..link import Link
 from ..logs import log_event
 from ..metrics import Metrics
-from ..movableengine import EnginePlace
+from ..movableengine import EngineLocation
 from ..peerlink import LinkIdentity, PeerLink, PeerServer
 from ..process import spawn
 from .engines import HttpMovableEngine
@@ -40,7 +40,7 @@
         self._stop_seconds = settings.limits.stop_seconds
         self._metrics = Metrics()
         self._engine = HttpMovableEngine(settings.endpoint.engine)
-        location = EnginePlace(
+        location = EngineLocation(
             settings.endpoint.service, settings.failure_domain
         )
         self._keeper = EngineKeeper(
@@ -76,7 +76,9 @@
 
     async def _run_until_stopped(self, stop: asyncio.Event) -> None:
         keeper_task = spawn(self._keeper.run(), 'keeper')
-        identification_task = spawn(self._keeper.run_naming(), 'engine name')
+        identification_task = spawn(
+            self._keeper.run_identification(), 'engine name'
+        )
         announcement_task = spawn(self._run_announcements(), 'announcements')
         try:
             await stop.wait()
@@ -106,7 +108,7 @@
         while True:
             # At once when the engine has started, and again at intervals for
             # entries that start later.
-            await self._keeper.wait_named(_ANNOUNCE_INTERVAL_SECONDS)
+            await self._keeper.wait_identified(_ANNOUNCE_INTERVAL_SECONDS)
             announcement = self._keeper.found
             for link in links:
                 if announcement is not None:
--- a/primrosewood/platform/engines.py
+++ b/primrosewood/platform/engines.py
@@ -15,7 +15,7 @@
 
 from ..backendset import Backend, EngineState
 from ..clock import Clock
-from ..directcalls import DirectCall, Header, Leg
+from ..directcalls import DirectCall, Header, BackendAttempt
 from ..errors import BackendCutError, ErrorKind, MisdirectedError, NotRunError
 from ..httpclient import never_repeat
 from ..movableengine import EngineReading
@@ -155,7 +155,7 @@
 
     @asynccontextmanager
     async def send(
-        self, call: DirectCall, leg: Leg
+        self, call: DirectCall, backend_attempt: BackendAttempt
     ) -> AsyncIterator[_BackendResponse]:
         """Send a call to a back end and yield its response.
 
@@ -171,17 +171,19 @@
         """
         if self._lazy_session is None:
             self._lazy_session = _make_session()
-        origin = _SCHEME + leg.backend.record.address
+        origin = _SCHEME + backend_attempt.backend.record.address
         sent_at = self._clock.monotonic()
         try:
             async with self._lazy_session.request(
                 call.method,
                 URL(origin + call.target, encoded=True),
-                headers=self._make_headers(call, leg),
+                headers=self._make_headers(call, backend_attempt),
                 data=call.body or None,
                 allow_redirects=False,
             ) as response:
-                self._report_rate_limit(call, leg.backend, response, sent_at)
+                self._report_rate_limit(
+                    call, backend_attempt.backend, response, sent_at
+                )
                 _check_response(call, response)
                 yield _BackendResponse(response)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
@@ -210,18 +212,22 @@
         if rate is not None or (valid_success and not text):
             self._on_rate_limit(backend, rate, sent_at)
 
-    def _make_headers(self, call: DirectCall, leg: Leg) -> CIMultiDict[str]:
+    def _make_headers(
+        self, call: DirectCall, backend_attempt: BackendAttempt
+    ) -> CIMultiDict[str]:
         request_headers = CIMultiDict(call.headers)
         remaining = min(call.patience, call.deadline) - self._clock.monotonic()
         request_headers[headers.DEADLINE] = str(
             max(0, int(remaining * _MILLISECONDS))
         )
-        request_headers[headers.EXPECTED_BACKEND] = leg.backend.name
+        request_headers[headers.EXPECTED_BACKEND] = backend_attempt.backend.name
         if call.organisation:
             request_headers[headers.ORGANISATION] = call.organisation
-        if leg.after_event is not None:
-            request_headers[headers.LAST_EVENT_ID] = str(leg.after_event)
-        resumption = leg.resumption
+        if backend_attempt.after_event is not None:
+            request_headers[headers.LAST_EVENT_ID] = str(
+                backend_attempt.after_event
+            )
+        resumption = backend_attempt.resumption
         if resumption is not None:
             origin = f'{resumption.source}/{resumption.handle}'
             request_headers[headers.MOVED_FROM] = origin
--- a/primrosewood/platform/entry.py
+++ b/primrosewood/platform/entry.py
@@ -7,9 +7,9 @@
 
 from .. import gen_wire as wire
 from ..backendset import BackendSet
-from ..balancing import LeastPressed
+from ..balancing import LeastCostBalancer
 from ..calllimits import CallLimits
-from ..callplacement import CallPlacement, PlacementTools, RelayRules
+from ..callplacement import CallPlacement, PlacementDependencies, RelayRules
 from ..clock import SystemClock, make_random
 from ..codec import Message
 from ..engineview import EngineView
@@ -26,16 +26,16 @@
 from ..link import Link
 from ..logs import log_event
 from ..metrics import Metrics
-from ..moves import NoticeBoard
+from ..moves import MoveNotices
 from ..peerlink import LinkIdentity, PeerServer
 from ..process import spawn
-from ..relay import Relay, RelayTools
+from ..relay import Relay, RelayDependencies
 from ..routes import CallerLimits, TableHolder
 from ..sharedreader import SharedReader
 from ..shares import EntryCount, RepeatRule
 from ..stopping import StopWindow
 from ..storeview import StoreView
-from ..unsent import has_unsent
+from ..unsent import has_unsent_data
 from .discovery import Discovery
 from .engines import HttpTransport
 from .frontend import HttpFrontend, answer_readiness_probe
@@ -71,7 +71,7 @@
         self._tables = TableHolder()
         self._entries = EntryCount(_ASSUMED_ENTRIES)
         self._backends = BackendSet(self._entries)
-        self._notices = NoticeBoard()
+        self._notices = MoveNotices()
         self._store = PlatformStore(settings.store, _STORE_TIMEOUT_SECONDS)
         self._engines = EngineView(
             backends=self._backends,
@@ -92,19 +92,19 @@
             make_random(),
             self._engines.send_to_one,
         )
-        self._transport = HttpTransport(self._clock, self._limits.note_answer)
+        self._transport = HttpTransport(self._clock, self._limits.record_answer)
         self._discovery = Discovery(
             self._tables, self._backends, self._clock, self._engines.update
         )
         self._store_reader = SharedReader(
             name=settings.name,
             view=StoreView(
-                self._store, _ALL_KEYS_PREFIX, self._discovery.take_pair
+                self._store, _ALL_KEYS_PREFIX, self._discovery.apply_pair
             ),
             clock=self._clock,
             random=make_random(),
             send=self._engines.send_to_one,
-            note_answered=self._discovery.note_store,
+            report_available=self._discovery.record_store_result,
         )
         self._stop_window = StopWindow(
             settings.limits.stop_seconds - _CLOSE_RESERVE_SECONDS,
@@ -112,7 +112,7 @@
         )
         self._frontend = self._make_frontend()
         self._peers = PeerServer(
-            settings.link_key, self._engines.take_announcement
+            settings.link_key, self._engines.handle_announcement
         )
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -151,7 +151,7 @@
 
     def reload(self, settings: NodeSettings) -> None:
         """Apply the limits of reloaded settings."""
-        self._placement.take_rules(_make_rules(settings))
+        self._placement.update_rules(_make_rules(settings))
         self._stop_window.seconds = (
             settings.limits.stop_seconds - _CLOSE_RESERVE_SECONDS
         )
@@ -159,20 +159,20 @@
     def _make_frontend(self) -> HttpFrontend:
         random = make_random()
         self._placement = CallPlacement(
-            PlacementTools(
+            PlacementDependencies(
                 rules=_make_rules(self._settings),
                 tables=self._tables,
                 backends=self._backends,
                 entries=self._entries,
-                balancer=LeastPressed(random),
+                balancer=LeastCostBalancer(random),
                 random=random,
                 clock=self._clock,
                 metrics=self._metrics,
                 announce=self._engines.announce_call,
-                count_call=self._limits.note_call,
+                count_call=self._limits.record_call,
             )
         )
-        tools = RelayTools(
+        tools = RelayDependencies(
             placement=self._placement,
             notices=self._notices,
             transport=self._transport,
@@ -190,7 +190,7 @@
 
     def _handle_message(self, message: Message, link: Link) -> None:
         if isinstance(message, wire.LimitTold):
-            self._limits.take_told(message)
+            self._limits.merge_from_peer(message)
         else:
             self._store_reader.handle(message, link)
 
@@ -241,7 +241,7 @@
 
     async def _wait_until_idle(self, caller_server: web.ServerRunner) -> None:
         release_connections(caller_server)
-        while self._frontend.active or has_unsent(caller_server):
+        while self._frontend.active or has_unsent_data(caller_server):
             await asyncio.sleep(_TICK_INTERVAL_SECONDS)
             release_connections(caller_server)
 
--- a/primrosewood/platform/frontend.py
+++ b/primrosewood/platform/frontend.py
@@ -136,7 +136,7 @@
         # Reading the body may have taken long, so the time is read again.
         admission_time = self._clock.monotonic()
         if self.stop.begun and not self.stop.admits(
-            call, self._relay.guess_length(call), admission_time
+            call, self._relay.estimate_answer_tokens(call), admission_time
         ):
             raise RequestFailedError(
                 ErrorKind.leaving,
@@ -145,7 +145,7 @@
         writer = _AnswerWriter(
             request,
             self._close_if_stopping,
-            partial(self.stop.must_hold, call, admission_time),
+            partial(self.stop.must_buffer, call, admission_time),
         )
         try:
             await self._relay.answer(call, writer)
@@ -242,7 +242,7 @@
 
     def _choose_retry_delay(self, call: DirectCall, now: float) -> float:
         longest_accepted = max(0, call.patience - now) * _MAX_RETRY_WAIT_SHARE
-        return min(self.stop.return_seconds(now), longest_accepted)
+        return min(self.stop.seconds_until_retry(now), longest_accepted)
 
     def _close_if_stopping(self, response: web.StreamResponse) -> None:
         if self.stop.begun:
@@ -252,7 +252,7 @@
 class _AnswerWriter:
     """Writes one response to its caller.
 
-    If ``must_hold`` says so when the response begins, nothing is sent until
+    If ``must_buffer`` says so when the response begins, nothing is sent until
     the response is complete.
     """
 
@@ -260,11 +260,11 @@
         self,
         request: web.BaseRequest,
         close_if_stopping: Callable[[web.StreamResponse], None],
-        must_hold: Callable[[], bool],
+        must_buffer: Callable[[], bool],
     ) -> None:
         self._request = request
         self._close_if_stopping = close_if_stopping
-        self._must_hold = must_hold
+        self._must_hold = must_buffer
         self._response: web.StreamResponse | None = None
         self._buffered: list[bytes] = []
 
--- a/primrosewood/platform/headers.py
+++ b/primrosewood/platform/headers.py
@@ -148,6 +148,8 @@
     hint = find_header(headers, _LENGTH_HINT).strip()
     return GenerationSize(
         prompt_tokens=int(prompt),
-        most_tokens=int(max_tokens) if max_tokens.strip().isdigit() else 0,
+        max_answer_tokens=int(max_tokens)
+        if max_tokens.strip().isdigit()
+        else 0,
         hint=int(hint) if hint.isdigit() else 0,
     )
--- a/primrosewood/platform/load.py
+++ b/primrosewood/platform/load.py
@@ -129,7 +129,7 @@
     ) -> None:
         await _read_response(response, answer, started)
 
-    def _may_return(self, task: Task, answer: CallerAnswer) -> bool:
+    def _may_retry(self, task: Task, answer: CallerAnswer) -> bool:
         if answer.complete:
             return False
         return answer.ran == 'no' or task.kind.method == 'GET'
--- a/primrosewood/platform/store.py
+++ b/primrosewood/platform/store.py
@@ -16,7 +16,7 @@
     StoreUnavailableError,
 )
 from ..httpclient import never_repeat
-from ..kv import Change, Changes, KeyValue, Listing, Pair, Swap
+from ..kv import Change, ChangeList, KeyValue, Listing, Pair, SwapResult
 
 __all__ = ('PlatformStore',)
 
@@ -128,7 +128,7 @@
                 return Listing(pairs, revision)
             query['after'] = page.items[-1].key
 
-    async def list_changes(self, prefix: str, known: int) -> Changes:
+    async def list_changes(self, prefix: str, known: int) -> ChangeList:
         """Return changes below a prefix after a revision, without waiting."""
         query = {
             'path_prefix': prefix,
@@ -139,11 +139,11 @@
             await self._send_request('GET', '/kv-watch', query)
         )
         changes = [_to_change(event) for event in watched.events]
-        return Changes(changes, watched.store_revision)
+        return ChangeList(changes, watched.store_revision)
 
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Write a key if its revision is ``expected`` (0 for absent)."""
         status, body = await self._write(
             key, stored, lease, [{'key': key, 'revision': expected}]
@@ -152,8 +152,10 @@
             conflicting = msgspec.json.decode(body).get('items', ())
             items = msgspec.convert(conflicting, list[_KeyItem])
             current = next((each for each in items if each.revision), None)
-            return Swap(False, current=_to_pair(current) if current else None)
-        return Swap(True, _decode(status, body, _WriteResult).revision)
+            return SwapResult(
+                False, current=_to_pair(current) if current else None
+            )
+        return SwapResult(True, _decode(status, body, _WriteResult).revision)
 
     async def put(self, key: str, stored: bytes, lease: int = 0) -> int:
         """Write a key unconditionally and return the revision."""
--- a/tests/test_platform_explain.py
+++ b/tests/test_platform_explain.py
@@ -16,7 +16,7 @@
 
 from primrosewood.loglines import parse_lines
 from primrosewood.logs import configure_logs
-from primrosewood.logstory import tell_story
+from primrosewood.requesttrace import tell_story
 
 from .deployment import GUIDE, Deployment
 
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -68,7 +68,8 @@
         name = 'Primrosewood-Token-Usage'
         size = parse_size([(name, '1460,80')])
         self.assertEqual(
-            (1460, 80, 0), (size.prompt_tokens, size.most_tokens, size.hint)
+            (1460, 80, 0),
+            (size.prompt_tokens, size.max_answer_tokens, size.hint),
         )
         with_hint = parse_size(
             [(name, '1,2'), ('Primrosewood-Length-Hint', '7')]
@@ -76,4 +77,4 @@
         self.assertEqual(7, with_hint.hint)
         self.assertIsNone(parse_size([]))
         self.assertIsNone(parse_size([(name, 'many,80')]))
-        self.assertEqual(0, parse_size([(name, '5')]).most_tokens)
+        self.assertEqual(0, parse_size([(name, '5')]).max_answer_tokens)
--- a/tests/test_platform_stopping.py
+++ b/tests/test_platform_stopping.py
@@ -301,12 +301,12 @@
         the request no longer counts as in progress.
         """
         with mock.patch.object(
-            entry, 'has_unsent', return_value=True
-        ) as has_unsent_mock:
+            entry, 'has_unsent_data', return_value=True
+        ) as has_unsent_data_mock:
             self.stop.set()
             await asyncio.sleep(3.2)
             self.assertFalse(self.entry.done())
-            has_unsent_mock.return_value = False
+            has_unsent_data_mock.return_value = False
             async with asyncio.timeout(0.5):
                 await self.entry
 
