--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -5,7 +5,7 @@
 from primrosewood.admission import Admission
 from primrosewood.clock import Clock
 from primrosewood.lengths import HORIZONS, LengthForecast, LengthPredictor
-from primrosewood.memory import Reservation, MemoryTracker
+from primrosewood.memory import MemoryTracker, Reservation
 from primrosewood.warmup import ConcurrencyTargets
 
 _SPARE = 0.01
--- a/primrosewood/endpoint.py
+++ b/primrosewood/endpoint.py
@@ -19,7 +19,7 @@
 from .metrics import Metrics
 from .process import run_process, spawn
 from .settings import SETTINGS_PREFIX, SettingsStore
-from .watcher import Watcher, PollSchedule
+from .watcher import PollSchedule, Watcher
 from .worker import EndpointIdentity, Worker
 
 __all__ = ('EndpointProcess', 'main', 'run')
