--- a/primrosewood/platform/engines.py
+++ b/primrosewood/platform/engines.py
@@ -15,7 +15,7 @@
 
 from ..backendset import Backend, EngineState
 from ..clock import Clock
-from ..directcalls import DirectCall, Header, BackendAttempt
+from ..directcalls import BackendAttempt, DirectCall, Header
 from ..errors import BackendCutError, ErrorKind, MisdirectedError, NotRunError
 from ..httpclient import never_repeat
 from ..movableengine import EngineReading
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -38,7 +38,7 @@
 )
 # Headers with the API key, and those of a request for a generation.
 KEY_HEADERS = {'Authorization': 'Bearer key-1'}
-GUIDE = {'Primrosewood-Token-Usage': '1000,80', **KEY_HEADERS}
+GENERATION_HEADERS = {'Primrosewood-Token-Usage': '1000,80', **KEY_HEADERS}
 
 
 def make_table(version=1, keys=('key-1',), prefix='/lookup/', **limits):
--- a/tests/test_platform_endpoint_stop.py
+++ b/tests/test_platform_endpoint_stop.py
@@ -8,7 +8,7 @@
 from primrosewood.platform.endpoint import EndpointNode
 from standins.backends import EngineStandIn
 
-from .deployment import GUIDE, Deployment
+from .deployment import GENERATION_HEADERS, Deployment
 
 _STOP_SECONDS = 2
 # A move that starts this long after the stop signal requests its final copy
@@ -19,7 +19,7 @@
 _EVENTS = 150
 # By then the endpoint process has seen the stream in a report.
 _MINIMUM_EVENTS = 20
-_HEADERS = {**GUIDE, 'Primrosewood-Deadline-Ms': '15000'}
+_HEADERS = {**GENERATION_HEADERS, 'Primrosewood-Deadline-Ms': '15000'}
 
 
 class _SlowCopyEngine(EngineStandIn):
--- a/tests/test_platform_engines.py
+++ b/tests/test_platform_engines.py
@@ -8,7 +8,7 @@
 
 from primrosewood.backendset import Backend, BackendRecord
 from primrosewood.clock import SystemClock
-from primrosewood.directcalls import DirectCall, BackendAttempt, Resumption
+from primrosewood.directcalls import BackendAttempt, DirectCall, Resumption
 from primrosewood.errors import BackendCutError, NotRunError
 from primrosewood.platform.engines import HttpTransport
 from primrosewood.routes import Route, RouteKind, Target
--- a/tests/test_platform_stopping.py
+++ b/tests/test_platform_stopping.py
@@ -11,7 +11,7 @@
 from primrosewood.platform import entry
 from primrosewood.platform.entry import EntryNode
 
-from .deployment import GUIDE, KEY_HEADERS, LIMITS, Deployment
+from .deployment import GENERATION_HEADERS, KEY_HEADERS, LIMITS, Deployment
 
 # The stop of these tests lasts 4 s; the load balancer notices it after 2.6 s.
 _AFTER_DETECTION_SECONDS = 2.85
@@ -26,7 +26,9 @@
             engine.events = 300
         # A stream from before the stop, which keeps the entry from exiting.
         stream_call = asyncio.create_task(
-            self.call('POST', '/guide/', name='ff00', headers=GUIDE)
+            self.call(
+                'POST', '/guide/', name='ff00', headers=GENERATION_HEADERS
+            )
         )
         self.stack.push_async_callback(self.cancel_stream, stream_call)
         await self.wait_for(self.has_one_run)
@@ -43,7 +45,7 @@
 
     async def request_stream(self, name, hint):
         headers = {
-            **GUIDE,
+            **GENERATION_HEADERS,
             'Primrosewood-Token-Usage': '1000,2000',
             'Primrosewood-Length-Hint': str(hint),
         }
@@ -84,7 +86,7 @@
         """Request a short stream that begins 0.2 s before the stop ends."""
         for engine in self.engines.values():
             engine.pause = 0.5
-        headers = {**GUIDE, 'Primrosewood-Token-Usage': '1000,20'}
+        headers = {**GENERATION_HEADERS, 'Primrosewood-Token-Usage': '1000,20'}
         pending_call = asyncio.create_task(
             self.call('POST', '/guide/', name='ab12', headers=headers)
         )
@@ -128,7 +130,7 @@
         for engine in self.engines.values():
             engine.events = 300
         headers = {
-            **GUIDE,
+            **GENERATION_HEADERS,
             'Primrosewood-Token-Usage': '1000,2000',
             'Primrosewood-Length-Hint': '100',
         }
@@ -179,7 +181,7 @@
         """The engine has sent no event when the stop ends."""
         for engine in self.engines.values():
             engine.pause = 30
-        response = await self.call_during_stop('/guide/', GUIDE)
+        response = await self.call_during_stop('/guide/', GENERATION_HEADERS)
         self.assertEqual(502, response.status)
 
     async def test_process_ends_by_itself(self):
@@ -191,7 +193,7 @@
         for engine in self.engines.values():
             engine.events = 5000
         stream_call = asyncio.create_task(
-            self.call('POST', '/guide/', headers=GUIDE)
+            self.call('POST', '/guide/', headers=GENERATION_HEADERS)
         )
         await asyncio.sleep(0.3)
         records = []
@@ -220,7 +222,9 @@
             engine.events = 150
         # Keeps the entry from exiting early.
         self.stream_call = asyncio.create_task(
-            self.call('POST', '/guide/', name='ff00', headers=GUIDE)
+            self.call(
+                'POST', '/guide/', name='ff00', headers=GENERATION_HEADERS
+            )
         )
         await asyncio.sleep(0.3)
 
