--- a/standins/backends.py
+++ b/standins/backends.py
@@ -13,7 +13,7 @@
 
 from aiohttp import web
 
-__all__ = ('Copies', 'EngineStandIn', 'RecordedCall', 'ServiceStandIn')
+__all__ = ('EngineStandIn', 'KvCopyStore', 'RecordedCall', 'ServiceStandIn')
 
 _ATTEMPT_HEADER = 'Primrosewood-Attempt-Id'
 _SEAL_HEADER = 'Primrosewood-Response-Seal'
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class Copies:
+class KvCopyStore:
     """KV cache copies that all engines of a test share.
 
     Attributes
@@ -122,7 +122,7 @@
 
     Attributes
     ----------
-    spoil
+    inject_fault
         Called with each request before its answer is sent, for example to
         reset the connection; None for no fault.
     seconds
@@ -133,7 +133,7 @@
         """Create a service that answers each call with the same body."""
         super().__init__(name)
         self._body = body
-        self.spoil: Callable[[web.BaseRequest], None] | None = None
+        self.inject_fault: Callable[[web.BaseRequest], None] | None = None
         self.seconds = 0.0
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -143,8 +143,8 @@
             return refusal
         headers = await self._record_call(request)
         await asyncio.sleep(self.seconds)
-        if self.spoil is not None:
-            self.spoil(request)
+        if self.inject_fault is not None:
+            self.inject_fault(request)
         return web.Response(body=self._body, headers=headers)
 
 
@@ -173,7 +173,7 @@
         Seconds between two events.
     """
 
-    def __init__(self, name: str, address: str, copies: Copies) -> None:
+    def __init__(self, name: str, address: str, copies: KvCopyStore) -> None:
         """Create an engine without generations."""
         super().__init__(name)
         self.address = address
--- a/standins/enginemodel.py
+++ b/standins/enginemodel.py
@@ -21,9 +21,9 @@
     ----------
     capacity
         Size of the KV cache, in tokens.
-    most_running
+    max_batch_size
         Largest batch, in streams.
-    step, step_each
+    step, step_seconds_per_stream
         Seconds that one decoding step takes, and the seconds that each stream
         of the batch adds.
     prefill_rate
@@ -42,9 +42,9 @@
     """
 
     capacity: int = 6000
-    most_running: int = 64
+    max_batch_size: int = 64
     step: float = 0.012
-    step_each: float = 0.0004
+    step_seconds_per_stream: float = 0.0004
     prefill_rate: float = 8000.0
     cold_tokens: int = 0
     cold_factor: float = 4.0
@@ -90,7 +90,7 @@
 
 
 @dataclass(slots=True)
-class Step:
+class StepResult:
     """Duration of a decoding step, and the streams that it affected."""
 
     seconds: float
@@ -145,10 +145,10 @@
                     return True
         return False
 
-    def step(self) -> Step:
+    def step(self) -> StepResult:
         """Run one step: admit, decode, and preempt when memory is full."""
         prefill_tokens = self._admit()
-        result = Step(seconds=self._step_seconds(prefill_tokens))
+        result = StepResult(seconds=self._step_seconds(prefill_tokens))
         for stream in list(self.running):
             stream.produced += 1
             result.emitted.append(stream)
@@ -163,7 +163,7 @@
     def _admit(self) -> int:
         prefill_tokens = 0
         self.waiting.sort(key=lambda stream: -stream.priority)
-        while self.waiting and len(self.running) < self.shape.most_running:
+        while self.waiting and len(self.running) < self.shape.max_batch_size:
             stream = self.waiting[0]
             free_tokens = self.shape.capacity - self.memory
             if self.running and stream.held + 1 > free_tokens:
@@ -191,7 +191,7 @@
     def _step_seconds(self, prefill_tokens: int) -> float:
         shape = self.shape
         batch_size = len(self.running)
-        seconds = shape.step + shape.step_each * batch_size
+        seconds = shape.step + shape.step_seconds_per_stream * batch_size
         seconds += prefill_tokens / shape.prefill_rate
         if self.cold:
             seconds *= shape.cold_factor
--- a/tests/test_platform_explain.py
+++ b/tests/test_platform_explain.py
@@ -138,7 +138,7 @@
         The lines must say that its outcome is unknown, and that it was sent
         only once.
         """
-        self.service.spoil = lambda request: request.transport.abort()
+        self.service.inject_fault = lambda request: request.transport.abort()
         self.assertEqual(502, await self.status('POST', '/issue/', data=b'x'))
         doubtful = self.grep('request=ab12.*event=send_failed') or self.grep(
             'event=send_failed.*request=ab12'
