--- a/standins/engine.py
+++ b/standins/engine.py
@@ -5,7 +5,7 @@
 
 - ``refuse`` answers new generations with 503;
 - ``stalled`` stops the decoding steps;
-- ``load_lag`` is the age in seconds up to which ``/load`` is outdated;
+- ``load_lag`` sets the seconds between refreshes of ``/load``;
 - ``cut_at`` resets, once, a stream that has sent so many tokens;
 - ``turn_cold`` makes the engine cold again.
 """
@@ -258,7 +258,7 @@
 
 
 def _derive_length(prompt: str) -> int:
-    """Return an answer length that is the same each time for a prompt."""
+    """Return an answer length in tokens that depends on the prompt only."""
     digest = hashlib.sha256(prompt.encode()).digest()
     return 5 + digest[0] // 4
 
--- a/standins/service.py
+++ b/standins/service.py
@@ -18,7 +18,7 @@
 
 
 class ServiceStandIn:
-    """HTTP handlers that record every call which they run."""
+    """HTTP handlers that record every call they run."""
 
     def __init__(self) -> None:
         """Create a service without recorded calls."""
--- a/standins/store.py
+++ b/standins/store.py
@@ -40,8 +40,8 @@
         Watches report no changes: each ends empty after its wait, like one
         during which nothing changed.
     lose_writes
-        Writes are executed, but their connections are reset before the
-        answer.
+        Writes and lease calls (all POST calls) are executed, but their
+        connections are reset before the answer.
     history_from
         Oldest revision after which a watch may begin; an older one is
         refused with 410, as its changes have been compacted.
