--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -6,7 +6,7 @@
 
 from primrosewood import balancing
 
-from .herd import play_fleet
+from .herd import simulate_fleet
 from .lines import Line
 
 _SEEDS = (1, 2, 3, 4, 5)
@@ -26,7 +26,9 @@
     """Play the fleet of 27 entries and 25 engines without one term each."""
     for name, switches in _SWITCHES.items():
         with mock.patch.dict(balancing.__dict__, switches):
-            shown = [play_fleet('announced', _SECONDS, seed) for seed in _SEEDS]
+            shown = [
+                simulate_fleet('announced', _SECONDS, seed) for seed in _SEEDS
+            ]
         late = [each.late * _PERCENT for each in shown]
         yield Line(
             'ablation',
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -24,7 +24,7 @@
 
 from .lines import Line
 
-__all__ = ('WAYS', 'HerdFigures', 'play_fleet', 'run_herd')
+__all__ = ('WAYS', 'HerdFigures', 'simulate_fleet', 'run_herd')
 
 _ENTRIES = 27
 _ENGINES = 25
@@ -320,7 +320,7 @@
             view[number].update_state(state, now)
 
 
-def play_fleet(way: str, seconds: float, seed: int) -> HerdFigures:
+def simulate_fleet(way: str, seconds: float, seed: int) -> HerdFigures:
     """Play 27 entries before 25 engines.
 
     Parameters
@@ -339,7 +339,7 @@
 def run_herd() -> Iterator[Line]:
     """Compare the ways on the fleet of 27 entries before 25 engines."""
     for name in WAYS:
-        shown = play_fleet(name, _SECONDS, seed=1)
+        shown = simulate_fleet(name, _SECONDS, seed=1)
         told = shown.messages / _SECONDS / (_ENTRIES + _ENGINES)
         kept = name in {'announced', 'oracle'}
         yield Line(
