--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -10,27 +10,27 @@
 from .costs import run_costs
 from .delays import run_delays
 from .herd import run_herd
-from .lines import Line
 from .path import run_path
 from .policy_table import run_table
+from .results import CaseResult
 from .slopes import run_slopes
 from .subsets import run_subsets
 from .table_change import run_table_change
 
-BROKEN = 1
+EXIT_BOUND_BROKEN = 1
 
 
 def main(only: str = '', quick: bool = False) -> None:
-    """Print a line for each case; exit with 1 when a bound breaks.
+    """Print the result of each case; exit with 1 if a bound is broken.
 
     Parameters
     ----------
     only
-        Name of one benchmark; all when empty.
+        Name of the benchmark to run; empty runs all of them.
     quick
-        Fewer cases and seeds, as CI runs them.
+        Run fewer cases and seeds, as CI does.
     """
-    benchmarks: dict[str, Callable[[], Iterator[Line]]] = {
+    benchmarks: dict[str, Callable[[], Iterator[CaseResult]]] = {
         'costs': run_costs,
         'subsets': run_subsets,
         'claims': run_claims,
@@ -42,20 +42,20 @@
         'path': lambda: run_path(quick),
         'policy': lambda: run_table(quick),
     }
-    broken = 0
+    broken_bounds = 0
     for name, run in benchmarks.items():
         if only in {'', name}:
-            broken += _show_all(run())
-    sys.stdout.write(f'bounds_broken={broken}\n')
-    sys.exit(BROKEN if broken else 0)
+            broken_bounds += _write_results(run())
+    sys.stdout.write(f'bounds_broken={broken_bounds}\n')
+    sys.exit(EXIT_BOUND_BROKEN if broken_bounds else 0)
 
 
-def _show_all(lines: Iterator[Line]) -> int:
-    broken = 0
-    for line in lines:
-        line.show()
-        broken += not line.ok
-    return broken
+def _write_results(results: Iterator[CaseResult]) -> int:
+    broken_bounds = 0
+    for result in results:
+        result.write()
+        broken_bounds += not result.ok
+    return broken_bounds
 
 
 if __name__ == '__main__':
--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -7,7 +7,7 @@
 from primrosewood import balancing
 
 from .herd import play_fleet
-from .lines import Line
+from .results import CaseResult
 
 _SEEDS = (1, 2, 3, 4, 5)
 _SECONDS = 40
@@ -22,13 +22,13 @@
 }
 
 
-def run_ablation() -> Iterator[Line]:
+def run_ablation() -> Iterator[CaseResult]:
     """Play the fleet of 27 entries and 25 engines without one term each."""
     for name, switches in _SWITCHES.items():
         with mock.patch.dict(balancing.__dict__, switches):
             shown = [play_fleet('announced', _SECONDS, seed) for seed in _SEEDS]
         late = [each.late * _PERCENT for each in shown]
-        yield Line(
+        yield CaseResult(
             'ablation',
             {
                 'without': name,
--- a/bench/claims_rate.py
+++ b/bench/claims_rate.py
@@ -14,7 +14,7 @@
 from primrosewood.identity import digest_key, make_identifier
 from primrosewood.kv import MemoryKeyValue, SwapResult
 
-from .lines import Line
+from .results import CaseResult
 
 RATE = 500
 SECONDS = 4
@@ -44,21 +44,21 @@
         return swap
 
 
-def run_claims() -> Iterator[Line]:
+def run_claims() -> Iterator[CaseResult]:
     """Claim at a rate through two entries, with and without one writer."""
     logger.remove()
     yield _measure('claims_without_writers', routed=False)
     line = _measure('claims', routed=True)
-    writes = line.pairs['swaps_s']
+    writes = line.figures['swaps_s']
     line.bound = f'swaps_s <= {_MOST_WRITES:g}, all granted'
-    line.ok = writes <= _MOST_WRITES and line.pairs['granted'] == CLAIMS
+    line.ok = writes <= _MOST_WRITES and line.figures['granted'] == CLAIMS
     yield line
 
 
-def _measure(case: str, routed: bool) -> Line:
+def _measure(case: str, routed: bool) -> CaseResult:
     store, took, granted = asyncio.run(_claim_all(routed))
     took.sort()
-    return Line(
+    return CaseResult(
         case,
         {
             'claims_s': RATE,
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -16,7 +16,7 @@
 from primrosewood.settings import SettingsStore
 from primrosewood.warmup import ConcurrencyTargets
 
-from .lines import Line
+from .results import CaseResult
 
 FLEETS = (11, 100, 630, 2000)
 ORGANISATIONS = (10, 230, 2000)
@@ -27,25 +27,27 @@
 _MODELS = 31
 
 
-def run_costs() -> Iterator[Line]:
+def run_costs() -> Iterator[CaseResult]:
     """Measure routing and admission."""
     logger.remove()
     routing = {size: _time_routing(size) for size in FLEETS}
     for size, cost in routing.items():
-        yield Line('routing_cost', {'endpoints': size, 'microseconds': cost})
+        yield CaseResult(
+            'routing_cost', {'endpoints': size, 'microseconds': cost}
+        )
     yield _bound('routing_cost_growth', routing)
     admission = {count: _time_admission(count) for count in ORGANISATIONS}
     for count, cost in admission.items():
-        yield Line(
+        yield CaseResult(
             'admission_cost', {'organisations': count, 'microseconds': cost}
         )
     yield _bound('admission_cost_growth', admission)
 
 
-def _bound(case: str, costs: dict[int, float]) -> Line:
+def _bound(case: str, costs: dict[int, float]) -> CaseResult:
     first, last = min(costs), max(costs)
     ratio = costs[last] / costs[first]
-    return Line(
+    return CaseResult(
         case,
         {'from': first, 'to': last, 'ratio': ratio},
         f'ratio <= {_GROWTH:g}',
--- a/bench/delays.py
+++ b/bench/delays.py
@@ -9,8 +9,8 @@
 from tests.processes.callers import complete
 from tests.processes.harness import Cluster
 
-from .lines import Line
 from .policies import percentile
+from .results import CaseResult
 from .slopes import PLANNED_TIMING
 
 CHANGES = 60
@@ -18,12 +18,12 @@
 ENTRIES = 3
 
 
-def run_delays() -> Iterator[Line]:
+def run_delays() -> Iterator[CaseResult]:
     """Measure with the timing that is the default."""
     yield from asyncio.run(_measure())
 
 
-async def _measure() -> list[Line]:
+async def _measure() -> list[CaseResult]:
     cluster = Cluster(timing=PLANNED_TIMING)
     try:
         await cluster.start(ENDPOINTS, entries=ENTRIES)
@@ -36,7 +36,7 @@
     return lines
 
 
-async def _settings(cluster: Cluster) -> Line:
+async def _settings(cluster: Cluster) -> CaseResult:
     delays = []
     for number in range(1, CHANGES + 1):
         started = time.monotonic()
@@ -47,7 +47,7 @@
         await cluster.wait_until(check)
         delays.append(time.monotonic() - started)
     worst = percentile(delays, 0.99)
-    return Line(
+    return CaseResult(
         'setting_in_force',
         {
             'changes': CHANGES,
@@ -75,12 +75,12 @@
 
 async def _vanish(
     cluster: Cluster, name: str, number: int, case: str, most: float
-) -> Line:
+) -> CaseResult:
     cluster.kill(name, number)
     started = time.monotonic()
     await cluster.wait_until(lambda: _is_vetoed(cluster, name))
     took = time.monotonic() - started
-    return Line(
+    return CaseResult(
         f'{case}_endpoint_out', {'s': took}, f's <= {most}', took <= most
     )
 
@@ -89,7 +89,7 @@
     return (await cluster.vetoes()).get(name, 'gone') != ''
 
 
-async def _resume_gap(cluster: Cluster) -> Line:
+async def _resume_gap(cluster: Cluster) -> CaseResult:
     killed_at = 0.0
 
     async def kill(answer) -> None:
@@ -117,7 +117,7 @@
     cluster.restart(f'entry-{ENTRIES}')
     whole = len(first.tokens) + len(second.tokens) == 300
     gap = resumed_at - killed_at
-    return Line(
+    return CaseResult(
         'resume_after_entry_death',
         {'gap_s': gap, 'whole': whole},
         'gap_s <= 1, whole',
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -22,7 +22,7 @@
 from primrosewood.enginereports import EngineReports, state_from_report
 from primrosewood.shares import ColdLimit, EntryCount
 
-from .lines import Line
+from .results import CaseResult
 
 __all__ = ('WAYS', 'HerdFigures', 'play_fleet', 'run_herd')
 
@@ -336,13 +336,13 @@
     return herd.run(seconds)
 
 
-def run_herd() -> Iterator[Line]:
+def run_herd() -> Iterator[CaseResult]:
     """Compare the ways on the fleet of 27 entries before 25 engines."""
     for name in WAYS:
         shown = play_fleet(name, _SECONDS, seed=1)
         told = shown.messages / _SECONDS / (_ENTRIES + _ENGINES)
         kept = name in {'announced', 'oracle'}
-        yield Line(
+        yield CaseResult(
             'herd',
             {
                 'way': name,
--- a/bench/path.py
+++ b/bench/path.py
@@ -12,8 +12,8 @@
 from tests.processes.callers import call_service, complete
 from tests.processes.harness import Cluster, free_port
 
-from .lines import Line
 from .policies import percentile
+from .results import CaseResult
 
 _STREAMS = 40
 _TOKENS = 400
@@ -30,12 +30,12 @@
 _MODELS = 31
 
 
-def run_path(quick: bool) -> Iterator[Line]:
+def run_path(quick: bool) -> Iterator[CaseResult]:
     """Measure a small system."""
     yield from asyncio.run(_measure(quick))
 
 
-async def _measure(quick: bool) -> list[Line]:
+async def _measure(quick: bool) -> list[CaseResult]:
     cluster = Cluster(service={'max_running': 128, 'start_running': 128})
     try:
         await cluster.start(
@@ -53,7 +53,7 @@
     return lines
 
 
-async def _idle_memory(cluster: Cluster) -> Line:
+async def _idle_memory(cluster: Cluster) -> CaseResult:
     """Return resident memory with the settings of the planned size."""
     for team in range(_TEAMS):
         document = {
@@ -73,7 +73,7 @@
         role: resident(cluster, name)
         for role, name in (('entry', 'entry-1'), ('endpoint', 'e1'))
     }
-    return Line(
+    return CaseResult(
         'idle_memory',
         {f'{role}_mb': size for role, size in sizes.items()},
         f'each <= {_IDLE_MEGABYTES}',
@@ -96,7 +96,7 @@
     return (int(fields[11]) + int(fields[12])) / _TICKS
 
 
-async def _token_cost(cluster: Cluster) -> list[Line]:
+async def _token_cost(cluster: Cluster) -> list[CaseResult]:
     """Compare processor time a token with a bare pass-through.
 
     The pass-through forwards the engine stand-in's stream unread, chunk by
@@ -116,7 +116,7 @@
     }
     bare = await _pass_through_cost(cluster)
     return [
-        Line(
+        CaseResult(
             'token_cost',
             {
                 **{f'{role}_us': cost for role, cost in costs.items()},
@@ -206,13 +206,13 @@
     web.run_app(app, host='127.0.0.1', port=port, print=None, access_log=None)
 
 
-async def _slow_reader(cluster: Cluster) -> Line:
+async def _slow_reader(cluster: Cluster) -> CaseResult:
     """Compare gaps of readers without and with a stalled one among them."""
     entry = cluster.url('entry-1')
     alone = await _reader_gaps(cluster, entry, stalled=0)
     beside = await _reader_gaps(cluster, entry, stalled=1)
     ratio = beside / alone
-    return Line(
+    return CaseResult(
         'slow_reader',
         {'p99_alone_s': alone, 'p99_beside_s': beside, 'ratio': ratio},
         f'ratio <= {_MOST_SLOWDOWN:g}',
@@ -245,7 +245,7 @@
     return percentile(gaps, 0.99)
 
 
-async def _memory_growth(cluster: Cluster, requests: int) -> Line:
+async def _memory_growth(cluster: Cluster, requests: int) -> CaseResult:
     """Return what the second half of many requests adds to memory."""
     names = (('entry', 'entry-1'), ('endpoint', 's1'))
     await call_many(cluster, requests // 2)
@@ -253,7 +253,7 @@
     await call_many(cluster, requests // 2)
     after = {role: resident(cluster, name) for role, name in names}
     growth = {role: after[role] - middle[role] for role in after}
-    return Line(
+    return CaseResult(
         'memory_growth',
         {
             'requests': requests,
--- a/bench/policy_table.py
+++ b/bench/policy_table.py
@@ -7,9 +7,9 @@
 
 from loguru import logger
 
-from .lines import Line
 from .plots import draw_bars
 from .policies import BASELINES, run_case
+from .results import CaseResult
 
 POLICIES = (*BASELINES, 'primrosewood', 'oracle')
 SEEDS = 5
@@ -70,7 +70,7 @@
 )
 
 
-def run_table(quick: bool) -> Iterator[Line]:
+def run_table(quick: bool) -> Iterator[CaseResult]:
     """Run all cases and yield their lines."""
     cases = QUICK_CASES if quick else CASES
     seeds = QUICK_SEEDS if quick else SEEDS
@@ -111,17 +111,17 @@
     }
 
 
-def _show_case(case: str, means: dict[str, Measures]) -> Iterator[Line]:
+def _show_case(case: str, means: dict[str, Measures]) -> Iterator[CaseResult]:
     best = {name: _best(means, name) for name in SHOWN}
     for policy, measures in means.items():
         pairs = {'policy': policy}
         pairs |= {name: measures[name] for name in SHOWN}
-        yield Line(f'policy_{case}', pairs)
+        yield CaseResult(f'policy_{case}', pairs)
     ours = means['primrosewood']
     oracle = means['oracle']
     for rule in RULES:
         yield _judge(case, rule, ours, best, oracle)
-    yield Line(
+    yield CaseResult(
         f'policy_{case}_retry_budget',
         {'offers_for_each_arrival': ours['offers']},
         f'<= {MOST_OFFERS:g}',
@@ -136,7 +136,7 @@
 
 def _judge(
     case: str, rule: Rule, ours: Measures, best: Measures, oracle: Measures
-) -> Line:
+) -> CaseResult:
     mine = ours[rule.measure]
     base = best[rule.measure]
     higher = rule.measure in _HIGHER_IS_BETTER
@@ -147,7 +147,7 @@
     bound = 1 if case == 'steady_0.6' and not higher else rule.bound
     ok = ratio >= bound if higher else ratio <= bound
     limit = oracle[rule.measure]
-    return Line(
+    return CaseResult(
         f'policy_{case}',
         {
             'measure': rule.measure,
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -17,8 +17,8 @@
 from tests.processes.callers import complete
 from tests.processes.harness import Cluster, free_port
 
-from .lines import Line
 from .path import call_many, processor_seconds, resident
+from .results import CaseResult
 
 LINKS = (0, 60, 180)
 SECONDS = 8
@@ -39,7 +39,7 @@
 )
 
 
-def run_slopes() -> Iterator[Line]:
+def run_slopes() -> Iterator[CaseResult]:
     """Measure an entry and an endpoint."""
     for count in LINKS:
         yield asyncio.run(_measure_entry(count))
@@ -48,7 +48,7 @@
     yield asyncio.run(_measure_work())
 
 
-async def _measure_entry(count: int) -> Line:
+async def _measure_entry(count: int) -> CaseResult:
     """Measure an idle entry with links to many endpoints."""
     cluster = Cluster(timing=PLANNED_TIMING)
     port = free_port()
@@ -106,7 +106,7 @@
             pass
 
 
-async def _measure_endpoint(count: int) -> Line:
+async def _measure_endpoint(count: int) -> CaseResult:
     """Measure an idle endpoint with links from many entries."""
     cluster = Cluster(timing=PLANNED_TIMING)
     try:
@@ -143,12 +143,12 @@
 
 async def _measure_idle(
     cluster: Cluster, name: str, role: str, count: int
-) -> Line:
+) -> CaseResult:
     pid = cluster.parts[name].process.pid
     before = processor_seconds(pid)
     await asyncio.sleep(SECONDS)
     share = (processor_seconds(pid) - before) / SECONDS
-    return Line(
+    return CaseResult(
         f'idle_{role}',
         {
             'links': count,
@@ -158,7 +158,7 @@
     )
 
 
-async def _measure_work() -> Line:
+async def _measure_work() -> CaseResult:
     """Return processor time a call and a token at each role."""
     cluster = Cluster(service={'max_running': 128, 'start_running': 128})
     try:
@@ -173,7 +173,7 @@
         )
     finally:
         await cluster.stop()
-    return Line(
+    return CaseResult(
         'work',
         {
             'entry_us_a_call': calls[0],
--- a/bench/subsets.py
+++ b/bench/subsets.py
@@ -10,7 +10,7 @@
 from primrosewood.gen_wire import Load
 from primrosewood.selection import Candidate, select_subset
 
-from .lines import Line
+from .results import CaseResult
 
 ENTRIES = 330
 ENDPOINTS = 630
@@ -23,14 +23,14 @@
 _MOST_IMBALANCE = 1.6
 
 
-def run_subsets() -> Iterator[Line]:
+def run_subsets() -> Iterator[CaseResult]:
     """Work the real selection over the planned identities."""
     links, load = _select()
     entry_links = sum(links.values()) / ENTRIES
     endpoint_links = sum(links.values()) / ENDPOINTS
     mean = sum(load.values()) / ENDPOINTS
     worst = max(load.values()) / mean
-    yield Line(
+    yield CaseResult(
         'subset',
         {
             'links_of_an_entry': entry_links,
@@ -70,7 +70,7 @@
     return links, load
 
 
-def _control(role: str, links: float) -> Line:
+def _control(role: str, links: float) -> CaseResult:
     """Return the worst case: every load changes much every second."""
     quiet = len(serialise_frame([wire.Heartbeat(0xFFFFFFFF, None)]))
     load = Load(running=30, queued=9, limit=64, memory=900)
@@ -78,7 +78,7 @@
     told = (busy + SERVER_HEADER) / Timing().heartbeat_seconds
     heard = (quiet + CLIENT_HEADER) / Timing().quiet_heartbeat_seconds
     rate = links * (told + heard)
-    return Line(
+    return CaseResult(
         f'control_bytes_{role}',
         {
             'heartbeat_bytes': busy,
--- a/bench/table_change.py
+++ b/bench/table_change.py
@@ -8,7 +8,7 @@
 from primrosewood.codec import serialise_frame
 from primrosewood.patches import apply_patch, make_patch
 
-from .lines import Line
+from .results import CaseResult
 
 _ROUTES = (100, 1_900, 10_000)
 _LINE_BITS_A_SECOND = 10_000_000
@@ -17,7 +17,7 @@
 _MOST_SHARE = 0.05
 
 
-def run_table_change() -> Iterator[Line]:
+def run_table_change() -> Iterator[CaseResult]:
     """Measure a change of one route, told whole and as a difference."""
     for count in _ROUTES:
         older, newer = _table(count, 1), _table(count, 2)
@@ -29,7 +29,7 @@
         rows = [list(row) for row in patch.copies]
         whole = _size(wire.StoredPair('t', 2, False, newer))
         part = _size(_patched(patch.inserted, rows))
-        yield Line(
+        yield CaseResult(
             'table_change',
             {
                 'routes': count,
