--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -11,7 +11,7 @@
 from .delays import run_delays
 from .herd import run_herd
 from .path import run_path
-from .policy_table import run_table
+from .policy_table import run_policies
 from .results import CaseResult
 from .slopes import run_slopes
 from .subsets import run_subsets
@@ -40,7 +40,7 @@
         'herd': run_herd,
         'ablation': run_ablation,
         'path': lambda: run_path(quick),
-        'policy': lambda: run_table(quick),
+        'policy': lambda: run_policies(quick),
     }
     broken_bounds = 0
     for name, run in benchmarks.items():
--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -1,4 +1,4 @@
-"""The limit: an admission that knows every length."""
+"""Upper bound for admission: an oracle that knows every answer length."""
 
 import math
 
@@ -8,42 +8,51 @@
 from primrosewood.memory import MemoryTracker, Reservation
 from primrosewood.warmup import ConcurrencyTargets
 
-_SPARE = 0.01
+_RESERVE_SHARE = 0.01
 
 
-class OracleLengths(LengthPredictor):
-    """Reads each length from the kind of request, where the bench puts it."""
+class OracleLengthPredictor(LengthPredictor):
+    """Reads the answer length from the kind of request.
+
+    `policies.OracleEndpoint` sets the kind to the length.
+    """
 
     def predict(self, group: tuple[str, ...], produced: int) -> LengthForecast:
         """Return the true remaining length."""
-        left = max(0, int(group[0]) - produced)
-        alive = tuple(float(left > ahead) for ahead in HORIZONS)
-        return LengthForecast(alive, left)
+        remaining = max(0, int(group[0]) - produced)
+        alive = tuple(float(remaining > horizon) for horizon in HORIZONS)
+        return LengthForecast(alive, remaining)
 
 
-class OracleMemory(MemoryTracker):
-    """Admits when the true peak of memory stays under the capacity."""
+class OracleMemoryTracker(MemoryTracker):
+    """Admits a generation if the true peak of memory stays below capacity."""
 
     def fits(self, reservation: Reservation) -> bool:
-        """Tell whether no step until the last end runs out of memory."""
+        """Return whether memory suffices at each step until all have ended."""
         streams = [*self._reservations.values(), reservation]
         if len(streams) == 1:
             return True
-        left = [
+        longest_first = [
             (self._lengths.predict(each.group, each.produced).remaining, each)
             for each in streams
         ]
-        left.sort(key=lambda pair: -pair[0])
-        held = 0
-        for count, (steps, each) in enumerate(left, start=1):
-            held += each.held
-            if held + count * steps > self.capacity * (1 - _SPARE):
+        longest_first.sort(key=lambda pair: -pair[0])
+        held_tokens = 0
+        # When a stream ends, only the streams with at least as many tokens left
+        # still run, and each of them has grown by as many tokens.
+        for stream_count, (remaining_tokens, each) in enumerate(
+            longest_first, start=1
+        ):
+            held_tokens += each.held
+            if held_tokens + stream_count * remaining_tokens > self.capacity * (
+                1 - _RESERVE_SHARE
+            ):
                 return False
         return True
 
 
 class OracleAdmission(Admission):
-    """The system's admission with the oracle's memory book."""
+    """Admission that uses the oracle for answer lengths and memory."""
 
     def __init__(
         self,
@@ -52,21 +61,21 @@
         queue_length: int,
         capacity: int,
     ) -> None:
-        """Replace lengths and memory by those that know."""
+        """Replace the length predictor and memory tracker by the oracle's."""
         super().__init__(clock, targets, queue_length, capacity)
-        self.lengths = OracleLengths()
-        self.memory = OracleMemory(capacity, self.lengths)
+        self.lengths = OracleLengthPredictor()
+        self.memory = OracleMemoryTracker(capacity, self.lengths)
 
 
 def is_oracle(admission: Admission | None) -> bool:
-    """Tell whether an admission knows the lengths."""
+    """Return whether an admission is the oracle's."""
     return isinstance(admission, OracleAdmission)
 
 
-def percentile(numbers: list[float], share: float) -> float:
-    """Return a percentile by the nearest rank, 0 for no numbers."""
-    if not numbers:
+def percentile(samples: list[float], share: float) -> float:
+    """Return a percentile by the nearest rank, 0 without samples."""
+    if not samples:
         return 0.0
-    ordered = sorted(numbers)
+    ordered = sorted(samples)
     rank = max(0, math.ceil(share * len(ordered)) - 1)
     return ordered[rank]
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,4 +1,4 @@
-"""Policy cases: the system against baselines and an oracle."""
+"""Simulated cases that compare routing policies with an oracle."""
 
 import random
 import time
@@ -14,177 +14,226 @@
 from standins.enginemodel import EngineShape
 
 from .oracle import OracleAdmission, is_oracle, percentile
-from .world import Job, Node, Setup, World, make_targets
+from .simulation import (
+    Job,
+    SimulatedEndpoint,
+    Simulation,
+    SimulationConfig,
+    make_targets,
+)
 
-SECONDS = 310.0
-LAST_ARRIVAL = 120.0
+SIMULATED_SECONDS = 310.0
+LAST_ARRIVAL_SECONDS = 120.0
 QUEUE_LENGTH = 256
-STALL_FROM = 0.25
+STALL_THRESHOLD_SECONDS = 0.25
 BASELINES = ('round-robin', 'least-outstanding', 'two-choices')
 
 
 @dataclass(frozen=True, slots=True)
-class KindShape:
-    """A kind of request in the policy workload."""
+class RequestKind:
+    """A kind of request in the policy workload.
+
+    Attributes
+    ----------
+    name
+        Name of the kind.
+    weight
+        Relative frequency.
+    median_length, length_sigma
+        Median and sigma of the lognormal answer length, in tokens.
+    streamed
+        Whether the caller reads the answer as a stream.
+    deadline
+        Seconds from arrival until the answer must be complete.
+    prompt
+        Smallest and largest prompt length, in tokens.
+    """
 
     name: str
     weight: float
-    middle: float
-    spread: float
+    median_length: float
+    length_sigma: float
     streamed: bool
     deadline: float
     prompt: tuple[int, int]
 
 
-KINDS = (
-    KindShape('question', 5, 60, 0.6, False, 30, (20, 120)),
-    KindShape('certificate', 3, 300, 0.4, True, 60, (60, 200)),
-    KindShape('label', 4, 15, 0.4, False, 20, (10, 60)),
-    KindShape('guide', 3, 700, 0.8, True, 180, (20, 100)),
+REQUEST_KINDS = (
+    RequestKind('question', 5, 60, 0.6, False, 30, (20, 120)),
+    RequestKind('certificate', 3, 300, 0.4, True, 60, (60, 200)),
+    RequestKind('label', 4, 15, 0.4, False, 20, (10, 60)),
+    RequestKind('guide', 3, 700, 0.8, True, 180, (20, 100)),
 )
-ORGANISATIONS = 10
-LONGEST = 8000
-SHAPES = (
+ORGANISATION_COUNT = 10
+MAX_OUTPUT_TOKENS = 8000
+ENGINE_SHAPES = (
     EngineShape(capacity=6000, step=0.012, cold_tokens=3000),
     EngineShape(capacity=6000, step=0.016, cold_tokens=3000),
     EngineShape(capacity=4500, step=0.012, cold_tokens=3000),
     EngineShape(capacity=7500, step=0.014, cold_tokens=3000),
     EngineShape(capacity=6000, step=0.020, cold_tokens=3000),
 )
-DOMAINS = ('d1', 'd1', 'd2', 'd2', 'd3')
+ENGINE_DOMAINS = ('d1', 'd1', 'd2', 'd2', 'd3')
 
 
 def make_jobs(load: float, seed: int) -> list[Job]:
-    """Return a workload at a share of the engines' capacity.
+    """Return a workload that uses a share of the engines' capacity.
 
-    Lengths are heavy-tailed, with a hidden factor for each organisation that
-    shifts half-way through.
+    Answer lengths are heavy-tailed and scaled by a factor per organisation,
+    unknown to the policies, which rises half-way through the arrivals.
     """
-    source = random.Random(seed)
-    factors = [source.lognormvariate(0, 0.4) for _ in range(ORGANISATIONS)]
-    weights = [1 / (1 + number) for number in range(ORGANISATIONS)]
-    drafts = [_draft(source, factors, weights, 0.0) for _ in range(4000)]
-    rate = load * _capacity(drafts)
+    random_source = random.Random(seed)
+    length_factors = [
+        random_source.lognormvariate(0, 0.4) for _ in range(ORGANISATION_COUNT)
+    ]
+    organisation_weights = [
+        1 / (1 + number) for number in range(ORGANISATION_COUNT)
+    ]
+    sample_jobs = [
+        _draw_job(random_source, length_factors, organisation_weights, 0.0)
+        for _ in range(4000)
+    ]
+    rate = load * _estimate_capacity(sample_jobs)
     jobs = []
-    at = source.expovariate(rate)
-    while at < LAST_ARRIVAL:
-        if at > LAST_ARRIVAL / 2 and factors is not None:
-            shifted = [factor * 1.4 for factor in factors]
+    arrival = random_source.expovariate(rate)
+    while arrival < LAST_ARRIVAL_SECONDS:
+        if arrival > LAST_ARRIVAL_SECONDS / 2 and length_factors is not None:
+            current_factors = [factor * 1.4 for factor in length_factors]
         else:
-            shifted = factors
-        job = _draft(source, shifted, weights, at)
+            current_factors = length_factors
+        job = _draw_job(
+            random_source, current_factors, organisation_weights, arrival
+        )
         job.name = f'j{len(jobs)}'
         jobs.append(job)
-        at += source.expovariate(rate)
+        arrival += random_source.expovariate(rate)
     return jobs
 
 
-def _draft(source, factors, weights, at: float) -> Job:
-    kind = source.choices(KINDS, [each.weight for each in KINDS])[0]
-    organisation = source.choices(range(ORGANISATIONS), weights)[0]
-    drawn = kind.middle * source.lognormvariate(0, kind.spread)
-    length = int(min(LONGEST, max(1, drawn * factors[organisation])))
+def _draw_job(
+    random_source, length_factors, organisation_weights, arrival: float
+) -> Job:
+    kind = random_source.choices(
+        REQUEST_KINDS, [each.weight for each in REQUEST_KINDS]
+    )[0]
+    organisation = random_source.choices(
+        range(ORGANISATION_COUNT), organisation_weights
+    )[0]
+    drawn_length = kind.median_length * random_source.lognormvariate(
+        0, kind.length_sigma
+    )
+    length = int(
+        min(
+            MAX_OUTPUT_TOKENS,
+            max(1, drawn_length * length_factors[organisation]),
+        )
+    )
     return Job(
         name='',
         organisation=f'o{organisation}',
         kind=kind.name,
         streamed=kind.streamed,
-        prompt_tokens=source.randint(*kind.prompt),
+        prompt_tokens=random_source.randint(*kind.prompt),
         length=length,
-        max_output_tokens=LONGEST,
-        arrival=at,
-        deadline=at + kind.deadline,
+        max_output_tokens=MAX_OUTPUT_TOKENS,
+        arrival=arrival,
+        deadline=arrival + kind.deadline,
     )
 
 
-def _capacity(jobs: list[Job]) -> float:
-    """Return the requests a second that fill the engines' memory."""
+def _estimate_capacity(jobs: list[Job]) -> float:
+    """Return the requests per second that fill the engines' memory."""
     tokens = sum(job.length for job in jobs)
-    held = sum(
+    token_steps = sum(
         job.prompt_tokens * job.length + job.length**2 / 2 for job in jobs
     )
-    mean_held = held / tokens
-    speed = 0.0
-    for shape in SHAPES:
-        batch = min(shape.most_running, shape.capacity / mean_held)
-        speed += batch / (shape.step + shape.step_each * batch)
-    return speed / (tokens / len(jobs))
+    mean_held_tokens = token_steps / tokens
+    tokens_per_second = 0.0
+    for shape in ENGINE_SHAPES:
+        batch = min(shape.most_running, shape.capacity / mean_held_tokens)
+        tokens_per_second += batch / (shape.step + shape.step_each * batch)
+    return tokens_per_second / (tokens / len(jobs))
 
 
-class OracleNode(Node):
-    """Tells the oracle each length in place of the kind."""
+class OracleEndpoint(SimulatedEndpoint):
+    """Endpoint that passes the answer length to the oracle as the kind."""
 
     def make_request(self, job: Job):
-        """Return what the oracle knows of a job."""
+        """Return the admission request, with the answer length as its kind."""
         request = super().make_request(job)
         fields = {name: getattr(request, name) for name in request.__slots__}
         return type(request)(**{**fields, 'kind': str(job.length)})
 
 
-def make_setup(policy: str, seed: int) -> Setup:
-    """Return the world of a policy."""
-    makers = {
+def make_config(policy: str, seed: int) -> SimulationConfig:
+    """Return the simulation settings of a policy."""
+    policy_classes = {
         'round-robin': RoundRobin,
         'least-outstanding': LeastOutstanding,
         'two-choices': TwoChoices,
         'primrosewood': PressurePolicy,
         'oracle': PressurePolicy,
     }
-    return Setup(
-        policy=makers[policy],
-        admit=_ADMISSIONS.get(policy, _admit_all),
-        priorities=policy not in BASELINES,
-        shapes=list(SHAPES),
-        domains=list(DOMAINS),
+    return SimulationConfig(
+        make_policy=policy_classes[policy],
+        make_admission=_ADMISSION_FACTORIES.get(policy, _make_no_admission),
+        prioritise_streams=policy not in BASELINES,
+        shapes=list(ENGINE_SHAPES),
+        domains=list(ENGINE_DOMAINS),
         seed=seed,
     )
 
 
-def _admit_all(_clock, _shape) -> None:
+def _make_no_admission(_clock, _shape) -> None:
     return None
 
 
-def _admit(clock, shape: EngineShape) -> Admission:
+def _make_admission(clock, shape: EngineShape) -> Admission:
     return Admission(clock, make_targets(shape), QUEUE_LENGTH, shape.capacity)
 
 
-def _admit_oracle(clock, shape: EngineShape) -> Admission:
+def _make_oracle_admission(clock, shape: EngineShape) -> Admission:
     return OracleAdmission(
         clock, make_targets(shape, start=64), QUEUE_LENGTH, shape.capacity
     )
 
 
-_ADMISSIONS = {'primrosewood': _admit, 'oracle': _admit_oracle}
+_ADMISSION_FACTORIES = {
+    'primrosewood': _make_admission,
+    'oracle': _make_oracle_admission,
+}
 
 
 def run_case(case: str, policy: str, load: float, seed: int) -> dict:
-    """Run one case and return its measures."""
-    started = time.process_time()
-    setup = make_setup(policy, seed)
-    world = World(setup)
-    for node in world.nodes.values():
-        node.model.warm_up()
+    """Simulate one case and return its measures."""
+    started_at = time.process_time()
+    config = make_config(policy, seed)
+    simulation = Simulation(config)
+    for endpoint in simulation.endpoints.values():
+        endpoint.model.warm_up()
     if policy == 'oracle':
-        for name, node in world.nodes.items():
-            world.nodes[name].__class__ = OracleNode
-            assert is_oracle(node.admission)
+        for name, endpoint in simulation.endpoints.items():
+            simulation.endpoints[name].__class__ = OracleEndpoint
+            assert is_oracle(endpoint.admission)
     if case == 'domain':
-        world.schedule(30, lambda: world.take_out('d2'))
-        world.schedule(60, lambda: world.bring_back('d2', cold=True))
+        simulation.schedule(30, lambda: simulation.take_domain_out('d2'))
+        simulation.schedule(
+            60, lambda: simulation.restore_domain('d2', cold=True)
+        )
     elif case == 'cold':
-        world.schedule(40, world.nodes['e0'].model.turn_cold)
+        simulation.schedule(40, simulation.endpoints['e0'].model.turn_cold)
     elif case == 'lost':
-        world.schedule(40, lambda: world.kill_domain('d1'))
+        simulation.schedule(40, lambda: simulation.kill_domain('d1'))
     jobs = make_jobs(load, seed)
-    world.run(jobs, SECONDS)
-    measures = measure(world, jobs)
-    measures['cpu_s'] = time.process_time() - started
+    simulation.run(jobs, SIMULATED_SECONDS)
+    measures = compute_measures(simulation, jobs)
+    measures['cpu_s'] = time.process_time() - started_at
     return measures
 
 
-def measure(world: World, jobs: list[Job]) -> dict:
-    """Return the measures of a finished run."""
-    done = [
+def compute_measures(simulation: Simulation, jobs: list[Job]) -> dict:
+    """Return the measures of a finished simulation."""
+    succeeded = [
         job for job in jobs if job.finished and job.finished <= job.deadline
     ]
     streamed = [job for job in jobs if job.streamed]
@@ -192,16 +241,18 @@
     certificates = [
         job
         for job in jobs
-        if job.kind == 'certificate' and job.deadline < SECONDS
+        if job.kind == 'certificate' and job.deadline < SIMULATED_SECONDS
     ]
-    in_time = sum(job in done for job in certificates) if certificates else 0
+    succeeded_certificates = (
+        sum(job in succeeded for job in certificates) if certificates else 0
+    )
     preempted = [
         (job, job.stream.preempted) for job in jobs if job.stream is not None
     ]
-    started = [job for job in jobs if job.first_token]
+    started_jobs = [job for job in jobs if job.first_token]
     return {
-        'stall_s': sum(_stall(job) for job in jobs),
-        'stall_streamed_s': sum(_stall(job) for job in streamed),
+        'stall_s': sum(_sum_stalls(job) for job in jobs),
+        'stall_streamed_s': sum(_sum_stalls(job) for job in streamed),
         'preemptions': sum(count for _job, count in preempted),
         'preemptions_streamed': sum(
             count for job, count in preempted if job.streamed
@@ -211,18 +262,22 @@
         'itl_p999': percentile(gaps, 0.999),
         'gap_p95': percentile([job.largest_gap for job in streamed], 0.95),
         'ttft_p95': percentile(
-            [job.first_token - job.arrival for job in started], 0.95
+            [job.first_token - job.arrival for job in started_jobs], 0.95
         ),
-        'goodput': sum(job.length for job in done) / LAST_ARRIVAL,
-        'certificates': in_time / max(1, len(certificates)),
-        'whole': len(done) / len(jobs),
+        'goodput': sum(job.length for job in succeeded) / LAST_ARRIVAL_SECONDS,
+        'certificates': succeeded_certificates / max(1, len(certificates)),
+        'whole': len(succeeded) / len(jobs),
         'given_up': sum(job.given_up for job in jobs),
         'lost': sum(job.lost for job in jobs),
-        'offers': world.offers / world.arrivals,
-        'returns': world.arrivals / len(jobs),
+        'offers': simulation.offers / simulation.arrivals,
+        'returns': simulation.arrivals / len(jobs),
         'jobs': len(jobs),
     }
 
 
-def _stall(job: Job) -> float:
-    return sum(gap - STALL_FROM for gap in job.gaps if gap > STALL_FROM)
+def _sum_stalls(job: Job) -> float:
+    return sum(
+        gap - STALL_THRESHOLD_SECONDS
+        for gap in job.gaps
+        if gap > STALL_THRESHOLD_SECONDS
+    )
