--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,4 +1,4 @@
-"""What each term of the choice is worth: the herd with one switched off."""
+"""Ablation of the balancer's cost: the fleet with one term disabled."""
 
 import statistics
 from collections.abc import Iterator
@@ -10,12 +10,13 @@
 from .results import CaseResult
 
 _SEEDS = (1, 2, 3, 4, 5)
-_SECONDS = 40
+_SIMULATED_SECONDS = 40
 _PERCENT = 100
-_SWITCHES = {
+# Names of `primrosewood.balancing` to replace in order to disable a term.
+_REPLACEMENTS = {
     'nothing': {},
-    'late_risk': {'_late_risk': lambda _first, _objective: 0},
-    'memory_risk': {'_memory_risk': lambda _share: 0},
+    'late_risk': {'_late_risk': lambda _first_event_seconds, _objective: 0},
+    'memory_risk': {'_memory_risk': lambda _memory_share: 0},
     'delay_of_others': {'_DELAYED_SHARE': 0},
     'lot_among_equals': {'_EQUAL_SECONDS': 0},
     'weight_of_losses': {'_LOSS_WEIGHT': 0},
@@ -23,21 +24,25 @@
 
 
 def run_ablation() -> Iterator[CaseResult]:
-    """Play the fleet of 27 entries and 25 engines without one term each."""
-    for name, switches in _SWITCHES.items():
-        with mock.patch.dict(balancing.__dict__, switches):
-            shown = [play_fleet('announced', _SECONDS, seed) for seed in _SEEDS]
-        late = [each.late * _PERCENT for each in shown]
+    """Simulate 27 entries and 25 engines with each term disabled in turn."""
+    for name, replacements in _REPLACEMENTS.items():
+        with mock.patch.dict(balancing.__dict__, replacements):
+            runs = [
+                play_fleet('announced', _SIMULATED_SECONDS, seed)
+                for seed in _SEEDS
+            ]
+        late_percents = [run.late * _PERCENT for run in runs]
         yield CaseResult(
             'ablation',
             {
                 'without': name,
-                'late_percent': statistics.mean(late),
-                'late_error': statistics.stdev(late) / len(late) ** 0.5,
+                'late_percent': statistics.mean(late_percents),
+                'late_error': statistics.stdev(late_percents)
+                / len(late_percents) ** 0.5,
                 'first_p99': statistics.mean(
-                    each.quantile(0.99) for each in shown
+                    run.quantile(0.99) for run in runs
                 ),
-                'lost': statistics.mean(each.lost for each in shown),
-                'crowded': statistics.mean(each.crowded for each in shown),
+                'lost': statistics.mean(run.lost for run in runs),
+                'crowded': statistics.mean(run.crowded for run in runs),
             },
         )
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -1,8 +1,10 @@
-"""Many entries choose among engines that come and go, by views that lag.
+"""Simulated fleet of entries that choose engines by delayed load reports.
 
-Compares ways to learn what other entries have just sent.  Engines read prompts
-one after another; the time to the first event and the sends that meet others
-at the same engine show how well the choices fit together.
+Compares report modes by how well they avoid a thundering herd, in which entries
+choose the same engine at once because the reports don't include each other's
+latest calls. Engines prefill prompts one after another and are replaced from
+time to time. The time to the first event and the number of calls that overlap
+at an engine show how well entries spread the load.
 """
 
 import heapq
@@ -24,90 +26,91 @@
 
 from .results import CaseResult
 
-__all__ = ('WAYS', 'HerdFigures', 'play_fleet', 'run_herd')
-
-_ENTRIES = 27
-_ENGINES = 25
-_CALLS_A_SECOND = 28.7
-_READ_SECONDS = 0.05
-_LINK_SECONDS = 0.001
-_ARRIVAL_SECONDS = 0.003
-_GATHER_SECONDS = 0.002
-_READING_PACE = 7_000
-_TOKEN_SECONDS = 0.009
-_MEMORY = 27_000
-_OBJECTIVE = 1.5
-_NEAR_SECONDS = 0.5
-_SHORT = ReservedTokens(2_500, 16)
-_LONG = ReservedTokens(3_079, 750)
-_LONG_SHARE = 0.47
-_SLOTS = 64
-# One engine in six leaves at a time; an empty one takes its place.
-_LEAVE_EVERY_SECONDS = 3.3
-_LEAVING_SHARE = 6
-# Tokens that are copied off an engine within its notice.
-_MOVED_TOKENS = 18_000
-_SECONDS = 60
+__all__ = ('REPORT_MODES', 'FleetFigures', 'play_fleet', 'run_herd')
+
+_ENTRY_COUNT = 27
+_ENGINE_COUNT = 25
+_CALLS_PER_SECOND = 28.7
+_POLL_SECONDS = 0.05
+_LINK_DELAY_SECONDS = 0.001
+_CALL_DELAY_SECONDS = 0.003
+_BATCH_DELAY_SECONDS = 0.002
+_PREFILL_TOKENS_PER_SECOND = 7_000
+_SECONDS_PER_TOKEN = 0.009
+_ENGINE_MEMORY_TOKENS = 27_000
+_OBJECTIVE_SECONDS = 1.5
+_OVERLAP_SECONDS = 0.5
+_SHORT_CALL = ReservedTokens(2_500, 16)
+_LONG_CALL = ReservedTokens(3_079, 750)
+_LONG_CALL_SHARE = 0.47
+_ENGINE_SLOTS = 64
+# One engine in six leaves at a time and is replaced by an empty one.
+_DEPARTURE_INTERVAL_SECONDS = 3.3
+_DEPARTURE_DIVISOR = 6
+# KV cache tokens that can be copied off an engine within its leave notice.
+_COPIED_TOKENS = 18_000
+_SIMULATED_SECONDS = 60
 _PERCENT = 100
-_LATE_BOUND = 0.02
+_MAX_LATE_SHARE = 0.02
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """How entries learn of an engine's load.
+class ReportMode:
+    """How entries learn the load of an engine.
 
     Attributes
     ----------
-    told_every
-        Least seconds between two reports of an engine; 0 for the bound that
-        the reports set themselves.
-    shows_unread
-        Whether reports tell prompts that are being read.
-    announced
-        Whether entries announce what they send.
-    sees_all
-        Whether every choice sees the engines as they are.
-    drawn
-        Engines that are compared, drawn by lot; 0 for all.
+    min_interval_seconds
+        Minimum time between two reports of an engine; 0 applies the rate
+        limit of `EngineReports` only.
+    includes_unread
+        Whether reports include the prompt tokens that wait for prefill.
+    announces_calls
+        Whether entries announce their calls to the engine's endpoint process.
+    uses_current_state
+        Whether each choice uses the current state of all engines, without
+        delay.
+    sample_size
+        Number of randomly sampled engines to choose from; 0 for all.
     """
 
-    told_every: float = 0
-    shows_unread: bool = True
-    announced: bool = False
-    sees_all: bool = False
-    drawn: int = 0
+    min_interval_seconds: float = 0
+    includes_unread: bool = True
+    announces_calls: bool = False
+    uses_current_state: bool = False
+    sample_size: int = 0
 
 
-WAYS = {
-    'counts': Way(told_every=0.2, shows_unread=False),
-    'prompts': Way(told_every=0.2),
-    'changes': Way(),
-    'announced': Way(announced=True),
-    'three_drawn': Way(announced=True, drawn=3),
-    'oracle': Way(sees_all=True),
+REPORT_MODES = {
+    'counts': ReportMode(min_interval_seconds=0.2, includes_unread=False),
+    'prompts': ReportMode(min_interval_seconds=0.2),
+    'changes': ReportMode(),
+    'announced': ReportMode(announces_calls=True),
+    'three_drawn': ReportMode(announces_calls=True, sample_size=3),
+    'oracle': ReportMode(uses_current_state=True),
 }
 
 
 @dataclass(slots=True)
-class HerdFigures:
-    """What a run showed.
+class FleetFigures:
+    """Measured figures of one simulation run.
 
     Attributes
     ----------
-    first_events
-        Seconds to each first event.
+    first_event_delays
+        Time from each call to its first event, in seconds.
     met
-        Other sends to the same engine in the half second before a send, in
-        the mean.
+        Mean number of other calls that the same engine received in the half
+        second before a call.
     messages
-        Reports and announcements, each copy counted.
+        Reports and announcements sent; each copy of a report counts.
     lost
-        Generations that were not copied before their engine left.
+        Generations that weren't copied before their engine left.
     crowded
-        Generations that came to an engine without memory for them.
+        Generations sent to an engine without enough free memory.
     """
 
-    first_events: list[float] = field(default_factory=list)
+    first_event_delays: list[float] = field(default_factory=list)
     met: float = 0
     messages: int = 0
     lost: int = 0
@@ -115,245 +118,301 @@
 
     @property
     def late(self) -> float:
-        """Share of first events after the objective."""
-        late = sum(each > _OBJECTIVE for each in self.first_events)
-        return late / len(self.first_events)
+        """Share of first events that missed the objective."""
+        late = sum(
+            each > _OBJECTIVE_SECONDS for each in self.first_event_delays
+        )
+        return late / len(self.first_event_delays)
 
     def quantile(self, share: float) -> float:
         """Return a quantile of the time to the first event."""
-        ordered = sorted(self.first_events)
+        ordered = sorted(self.first_event_delays)
         return ordered[int(share * (len(ordered) - 1))]
 
 
 class _Engine:
-    """An engine and what is told of it."""
+    """An engine and the reports about it."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.reports = EngineReports()
-        self.told_at = float('-inf')
-        self.gathering = False
-        self.sent: list[float] = []
+        self.reported_at = float('-inf')
+        self.report_scheduled = False
+        self.call_times: list[float] = []
         self.reservations: set[Reservation] = set()
-        self._unread: list[tuple[float, int]] = []
-        self._ends: list[tuple[float, int]] = []
-        self._free_at = 0.0
+        self._prefills: list[tuple[float, int]] = []
+        self._generations: list[tuple[float, int]] = []
+        self._prefill_done_at = 0.0
+
+    def replace_with_empty(self, now: float) -> int:
+        """Empty the engine and return the number of generations lost.
 
-    def leave(self, now: float) -> int:
-        """Empty the engine; return how many generations were not copied."""
+        The smallest generations are copied first, as many as the notice
+        allows; the others are lost.
+        """
         self.state(now)
-        left = _MOVED_TOKENS
+        copyable_tokens = _COPIED_TOKENS
         lost = 0
-        for _end, total in sorted(self._ends, key=lambda row: row[1]):
-            left -= total
-            lost += left < 0
-        self._unread.clear()
-        self._ends.clear()
-        self._free_at = now
+        for _ended_at, total in sorted(
+            self._generations, key=lambda item: item[1]
+        ):
+            copyable_tokens -= total
+            lost += copyable_tokens < 0
+        self._prefills.clear()
+        self._generations.clear()
+        self._prefill_done_at = now
         return lost
 
     def admit(self, tokens: ReservedTokens, now: float) -> tuple[float, float]:
-        """Return when the first event comes, and the last one."""
-        first = max(now, self._free_at) + tokens.prompt / _READING_PACE
-        self._free_at = first
-        last = first + tokens.answer * _TOKEN_SECONDS
-        self._unread.append((first, tokens.prompt))
-        self._ends.append((last, tokens.total))
-        return first, last
+        """Start a generation; return the times of its first and last event."""
+        first_event_at = (
+            max(now, self._prefill_done_at)
+            + tokens.prompt / _PREFILL_TOKENS_PER_SECOND
+        )
+        self._prefill_done_at = first_event_at
+        last_event_at = first_event_at + tokens.answer * _SECONDS_PER_TOKEN
+        self._prefills.append((first_event_at, tokens.prompt))
+        self._generations.append((last_event_at, tokens.total))
+        return first_event_at, last_event_at
 
     def state(self, now: float) -> EngineState:
-        self._unread = [row for row in self._unread if row[0] > now]
-        self._ends = [row for row in self._ends if row[0] > now]
+        self._prefills = [item for item in self._prefills if item[0] > now]
+        self._generations = [
+            item for item in self._generations if item[0] > now
+        ]
         return EngineState(
-            running=len(self._ends),
-            used_tokens=sum(total for _end, total in self._ends),
-            total_tokens=_MEMORY,
-            unread_tokens=sum(prompt for _at, prompt in self._unread),
-            generating=len(self._ends) - len(self._unread),
-            token_seconds=_TOKEN_SECONDS,
+            running=len(self._generations),
+            used_tokens=sum(total for _ended_at, total in self._generations),
+            total_tokens=_ENGINE_MEMORY_TOKENS,
+            unread_tokens=sum(
+                prompt for _prefilled_at, prompt in self._prefills
+            ),
+            generating=len(self._generations) - len(self._prefills),
+            token_seconds=_SECONDS_PER_TOKEN,
         )
 
 
-class _Herd:
-    """Entries and engines on a virtual clock.
+class _FleetSimulation:
+    """Discrete-event simulation of entries and engines on a virtual clock.
 
     Parameters
     ----------
-    rate
-        Generations a second at all entries together.
+    calls_per_second
+        Arrival rate of generations, summed over all entries.
     """
 
     def __init__(
-        self, entries: int, engines: int, rate: float, way: Way, seed: int
+        self,
+        entries: int,
+        engines: int,
+        calls_per_second: float,
+        mode: ReportMode,
+        seed: int,
     ) -> None:
-        """Start without calls."""
+        """Create idle engines and entries."""
         self._random = random.Random(seed)
-        self._rate = rate
-        self._way = way
+        self._calls_per_second = calls_per_second
+        self._mode = mode
         self._engines = [_Engine(f'e{number}') for number in range(engines)]
         self._views = [self._make_view() for _ in range(entries)]
         self._balancer = LeastCostBalancer(self._random)
-        self._figures = HerdFigures()
-        self._met = 0
+        self._figures = FleetFigures()
+        self._overlapping_calls = 0
         self._events: list[tuple] = []
-        self._order = count()
+        self._sequence = count()
 
-    def run(self, seconds: float) -> HerdFigures:
-        """Play for some time and return what it showed."""
+    def run(self, seconds: float) -> FleetFigures:
+        """Run the simulation and return its figures."""
         for engine in self._engines:
-            self._at(self._random.random() * _READ_SECONDS, self._read, engine)
-        self._at(0, self._call)
-        self._at(_LEAVE_EVERY_SECONDS, self._leave)
+            self._schedule(
+                self._random.random() * _POLL_SECONDS, self._poll_engine, engine
+            )
+        self._schedule(0, self._start_call)
+        self._schedule(_DEPARTURE_INTERVAL_SECONDS, self._replace_engines)
         while self._events:
-            now, _order, act, *rest = heapq.heappop(self._events)
+            now, _sequence, handler, *arguments = heapq.heappop(self._events)
             if now > seconds:
                 break
-            act(now, *rest)
-        self._figures.met = self._met / len(self._figures.first_events)
+            handler(now, *arguments)
+        self._figures.met = self._overlapping_calls / len(
+            self._figures.first_event_delays
+        )
         return self._figures
 
     def _make_view(self) -> list[Backend]:
         return [
             Backend(
-                BackendRecord(engine.name, 's', 'a:1', 'd', _SLOTS),
+                BackendRecord(engine.name, 's', 'a:1', 'd', _ENGINE_SLOTS),
                 ColdLimit(EntryCount(1)),
             )
             for engine in self._engines
         ]
 
-    def _at(self, when: float, act, *rest) -> None:
-        heapq.heappush(self._events, (when, next(self._order), act, *rest))
+    def _schedule(self, when: float, handler, *arguments) -> None:
+        heapq.heappush(
+            self._events, (when, next(self._sequence), handler, *arguments)
+        )
 
-    def _call(self, now: float) -> None:
-        self._at(now + self._random.expovariate(self._rate), self._call)
+    def _start_call(self, now: float) -> None:
+        self._schedule(
+            now + self._random.expovariate(self._calls_per_second),
+            self._start_call,
+        )
         view = self._random.choice(self._views)
-        tokens = _LONG if self._random.random() < _LONG_SHARE else _SHORT
-        backend = self._choose(view, tokens, now)
+        tokens = (
+            _LONG_CALL
+            if self._random.random() < _LONG_CALL_SHARE
+            else _SHORT_CALL
+        )
+        backend = self._choose_backend(view, tokens, now)
         engine = self._engines[view.index(backend)]
-        near = [at for at in engine.sent if at > now - _NEAR_SECONDS]
-        self._met += len(near)
-        engine.sent = [*near, now]
+        recent_calls = [
+            at for at in engine.call_times if at > now - _OVERLAP_SECONDS
+        ]
+        self._overlapping_calls += len(recent_calls)
+        engine.call_times = [*recent_calls, now]
         used = engine.state(now).used_tokens
-        self._figures.crowded += used + tokens.total > _MEMORY
+        self._figures.crowded += used + tokens.total > _ENGINE_MEMORY_TOKENS
         reservation = Reservation(BackendAttempt(backend), tokens)
-        first, last = engine.admit(tokens, now + _ARRIVAL_SECONDS)
-        self._figures.first_events.append(first - now)
+        first_event_at, last_event_at = engine.admit(
+            tokens, now + _CALL_DELAY_SECONDS
+        )
+        self._figures.first_event_delays.append(first_event_at - now)
         engine.reservations.add(reservation)
-        self._at(first, self._begin, engine, reservation)
-        self._at(last, self._end, engine, reservation)
-        if self._way.announced:
+        self._schedule(
+            first_event_at, self._record_first_event, engine, reservation
+        )
+        self._schedule(last_event_at, self._finish_call, engine, reservation)
+        if self._mode.announces_calls:
             self._figures.messages += 1
-            self._at(now + _LINK_SECONDS, self._place, engine, tokens)
+            self._schedule(
+                now + _LINK_DELAY_SECONDS, self._announce_call, engine, tokens
+            )
 
-    def _begin(
+    def _record_first_event(
         self, now: float, engine: _Engine, reservation: Reservation
     ) -> None:
         if reservation in engine.reservations:
             reservation.record_event(now)
 
-    def _end(
+    def _finish_call(
         self, _now: float, engine: _Engine, reservation: Reservation
     ) -> None:
         if reservation in engine.reservations:
             engine.reservations.remove(reservation)
             reservation.release()
 
-    def _leave(self, now: float) -> None:
-        self._at(now + _LEAVE_EVERY_SECONDS, self._leave)
-        leaving = len(self._engines) // _LEAVING_SHARE
+    def _replace_engines(self, now: float) -> None:
+        self._schedule(now + _DEPARTURE_INTERVAL_SECONDS, self._replace_engines)
+        leaving = len(self._engines) // _DEPARTURE_DIVISOR
         for engine in self._random.sample(self._engines, leaving):
-            self._figures.lost += engine.leave(now)
+            self._figures.lost += engine.replace_with_empty(now)
             for reservation in engine.reservations:
                 reservation.release()
             engine.reservations.clear()
 
-    def _choose(
+    def _choose_backend(
         self, view: list[Backend], tokens: ReservedTokens, now: float
     ) -> Backend:
-        if self._way.sees_all:
+        if self._mode.uses_current_state:
             for backend, engine in zip(view, self._engines, strict=True):
                 backend.update_state(engine.state(now), now)
         usable = view
-        if self._way.drawn:
-            usable = self._random.sample(view, self._way.drawn)
-        placing = PlacementContext(
-            'd', now, tokens, _MEMORY, _OBJECTIVE, _READING_PACE
+        if self._mode.sample_size:
+            usable = self._random.sample(view, self._mode.sample_size)
+        context = PlacementContext(
+            'd',
+            now,
+            tokens,
+            _ENGINE_MEMORY_TOKENS,
+            _OBJECTIVE_SECONDS,
+            _PREFILL_TOKENS_PER_SECOND,
         )
-        return self._balancer.choose(usable, placing)
+        return self._balancer.choose(usable, context)
 
-    def _place(
+    def _announce_call(
         self, now: float, engine: _Engine, tokens: ReservedTokens
     ) -> None:
         engine.reports.announce(tokens.prompt, now)
-        if not engine.gathering:
-            engine.gathering = True
-            self._at(now + _GATHER_SECONDS, self._tell_gathered, engine)
+        if not engine.report_scheduled:
+            engine.report_scheduled = True
+            self._schedule(
+                now + _BATCH_DELAY_SECONDS, self._send_batched_report, engine
+            )
 
-    def _tell_gathered(self, now: float, engine: _Engine) -> None:
-        engine.gathering = False
-        self._tell(now, engine)
+    def _send_batched_report(self, now: float, engine: _Engine) -> None:
+        engine.report_scheduled = False
+        self._send_report_if_due(now, engine)
 
-    def _read(self, now: float, engine: _Engine) -> None:
-        self._at(now + _READ_SECONDS, self._read, engine)
+    def _poll_engine(self, now: float, engine: _Engine) -> None:
+        self._schedule(now + _POLL_SECONDS, self._poll_engine, engine)
         state = engine.state(now)
-        if not self._way.shows_unread:
+        if not self._mode.includes_unread:
             state = replace(state, unread_tokens=0)
         engine.reports.take(state, now)
-        self._tell(now, engine)
+        self._send_report_if_due(now, engine)
 
-    def _tell(self, now: float, engine: _Engine) -> None:
+    def _send_report_if_due(self, now: float, engine: _Engine) -> None:
         report = engine.reports.make(len(self._views))
-        if self._way.told_every:
-            due = now >= engine.told_at + self._way.told_every
+        if self._mode.min_interval_seconds:
+            due = now >= engine.reported_at + self._mode.min_interval_seconds
         else:
             due = engine.reports.is_due(report, now)
         if due:
-            engine.told_at = now
+            engine.reported_at = now
             engine.reports.record_sent(report, now)
             self._figures.messages += len(self._views)
-            self._at(now + _LINK_SECONDS, self._hear, engine, report)
+            self._schedule(
+                now + _LINK_DELAY_SECONDS, self._receive_report, engine, report
+            )
 
-    def _hear(self, now: float, engine: _Engine, report) -> None:
-        number = self._engines.index(engine)
+    def _receive_report(self, now: float, engine: _Engine, report) -> None:
+        index = self._engines.index(engine)
         state = state_from_report(report)
         for view in self._views:
-            view[number].update_state(state, now)
+            view[index].update_state(state, now)
 
 
-def play_fleet(way: str, seconds: float, seed: int) -> HerdFigures:
-    """Play 27 entries before 25 engines.
+def play_fleet(mode: str, seconds: float, seed: int) -> FleetFigures:
+    """Simulate 27 entries and 25 engines.
 
     Parameters
     ----------
-    way
-        How entries learn of each other's calls, by its name in `WAYS`.
+    mode
+        How entries learn the load of engines: a name in `REPORT_MODES`.
     seconds
-        How long, on the virtual clock.
+        Duration on the virtual clock.
     seed
-        Of arrivals, sizes and choices.
+        Seed of arrivals, sizes and choices.
     """
-    herd = _Herd(_ENTRIES, _ENGINES, _CALLS_A_SECOND, WAYS[way], seed)
-    return herd.run(seconds)
+    simulation = _FleetSimulation(
+        _ENTRY_COUNT, _ENGINE_COUNT, _CALLS_PER_SECOND, REPORT_MODES[mode], seed
+    )
+    return simulation.run(seconds)
 
 
 def run_herd() -> Iterator[CaseResult]:
-    """Compare the ways on the fleet of 27 entries before 25 engines."""
-    for name in WAYS:
-        shown = play_fleet(name, _SECONDS, seed=1)
-        told = shown.messages / _SECONDS / (_ENTRIES + _ENGINES)
-        kept = name in {'announced', 'oracle'}
+    """Compare the report modes on 27 entries and 25 engines."""
+    for name in REPORT_MODES:
+        figures = play_fleet(name, _SIMULATED_SECONDS, seed=1)
+        messages_per_node_second = (
+            figures.messages
+            / _SIMULATED_SECONDS
+            / (_ENTRY_COUNT + _ENGINE_COUNT)
+        )
+        has_bound = name in {'announced', 'oracle'}
         yield CaseResult(
             'herd',
             {
                 'way': name,
-                'first_p50': shown.quantile(0.5),
-                'first_p99': shown.quantile(0.99),
-                'late_percent': shown.late * _PERCENT,
-                'met': shown.met,
-                'lost': shown.lost,
-                'crowded': shown.crowded,
-                'messages_a_node_second': told,
+                'first_p50': figures.quantile(0.5),
+                'first_p99': figures.quantile(0.99),
+                'late_percent': figures.late * _PERCENT,
+                'met': figures.met,
+                'lost': figures.lost,
+                'crowded': figures.crowded,
+                'messages_a_node_second': messages_per_node_second,
             },
-            f'late <= {_LATE_BOUND * _PERCENT:g} %' if kept else '',
-            not kept or shown.late <= _LATE_BOUND,
+            f'late <= {_MAX_LATE_SHARE * _PERCENT:g} %' if has_bound else '',
+            not has_bound or figures.late <= _MAX_LATE_SHARE,
         )
