--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,8 @@
-"""What one more link, request or organisation costs a process."""
+"""CPU time and memory that a process needs per link, call and token.
+
+Idle processes are measured at several numbers of links, so that the slope is
+the cost of one more link.
+"""
 
 import asyncio
 from collections.abc import Iterator
@@ -17,14 +21,14 @@
 from tests.processes.callers import complete
 from tests.processes.harness import Cluster, free_port
 
-from .path import call_many, processor_seconds, resident
+from .path import call_many, cpu_seconds, resident_megabytes
 from .results import CaseResult
 
-LINKS = (0, 60, 180)
-SECONDS = 8
-CALLS = 3000
-STREAMS = 40
-TOKENS = 200
+LINK_COUNTS = (0, 60, 180)
+MEASURED_SECONDS = 8
+CALL_COUNT = 3000
+STREAM_COUNT = 40
+TOKENS_PER_STREAM = 200
 PLANNED_TIMING = {
     'heartbeat_seconds': 1.0,
     'quiet_heartbeat_seconds': 5.0,
@@ -33,32 +37,34 @@
     'poll_seconds': 5.0,
     'vm_list_seconds': 2.0,
 }
-_LOADS = (
+_ALTERNATING_LOADS = (
     wire.Load(running=30, queued=0, limit=64),
     wire.Load(running=10, queued=0, limit=64),
 )
 
 
 def run_slopes() -> Iterator[CaseResult]:
-    """Measure an entry and an endpoint."""
-    for count in LINKS:
+    """Measure idle processes by number of links, then the cost of requests."""
+    for count in LINK_COUNTS:
         yield asyncio.run(_measure_entry(count))
-    for count in LINKS:
+    for count in LINK_COUNTS:
         yield asyncio.run(_measure_endpoint(count))
-    yield asyncio.run(_measure_work())
+    yield asyncio.run(_measure_request_cost())
 
 
 async def _measure_entry(count: int) -> CaseResult:
     """Measure an idle entry with links to many endpoints."""
     cluster = Cluster(timing=PLANNED_TIMING)
     port = free_port()
-    async with serve(_answer, '127.0.0.1', port, ping_interval=None):
+    async with serve(
+        _serve_fake_endpoint, '127.0.0.1', port, ping_interval=None
+    ):
         try:
             await cluster.start({}, entries=1)
             await cluster.put_settings(
                 'cymru', 1024, 'services/certdesk/subset'
             )
-            await _register(cluster, port, count)
+            await _register_fake_endpoints(cluster, port, count)
             names = [f'fake-{number}' for number in range(count)]
             await cluster.wait_usable(names)
             return await _measure_idle(cluster, 'entry-1', 'entry', count)
@@ -66,7 +72,9 @@
             await cluster.stop()
 
 
-async def _register(cluster: Cluster, port: int, count: int) -> None:
+async def _register_fake_endpoints(
+    cluster: Cluster, port: int, count: int
+) -> None:
     store = EtcdKeyValue(cluster.url('platform'), 5)
     for number in range(count):
         name = f'fake-{number}'
@@ -83,24 +91,24 @@
     await store.close()
 
 
-async def _answer(socket: ServerConnection) -> None:
-    """Stand in for an endpoint whose load changes every second."""
+async def _serve_fake_endpoint(socket: ServerConnection) -> None:
+    """Fake an endpoint whose load changes with every heartbeat."""
     name = socket.request.path.removeprefix('/')
     await socket.recv()
     await socket.send(
-        serialise_frame([wire.Welcome(name, '1', 'd1', _LOADS[0])])
+        serialise_frame([wire.Welcome(name, '1', 'd1', _ALTERNATING_LOADS[0])])
     )
-    reader = asyncio.create_task(_drain(socket))
+    reader = asyncio.create_task(_discard_frames(socket))
     number = 0
     with suppress(websockets.ConnectionClosed):
         while not reader.done():
             number += 1
-            load = _LOADS[number % len(_LOADS)]
+            load = _ALTERNATING_LOADS[number % len(_ALTERNATING_LOADS)]
             await socket.send(serialise_frame([wire.Heartbeat(0, load)]))
             await asyncio.sleep(PLANNED_TIMING['heartbeat_seconds'])
 
 
-async def _drain(socket) -> None:
+async def _discard_frames(socket) -> None:
     with suppress(websockets.ConnectionClosed):
         async for _frame in socket:
             pass
@@ -111,31 +119,32 @@
     cluster = Cluster(timing=PLANNED_TIMING)
     try:
         await cluster.start({'e1': 'abertawe'}, entries=1)
-        url = await _find_links(cluster)
-        peers = [
-            asyncio.create_task(_speak(url, number)) for number in range(count)
+        url = await _fetch_link_url(cluster)
+        entry_tasks = [
+            asyncio.create_task(_run_fake_entry(url, number))
+            for number in range(count)
         ]
         await asyncio.sleep(1)
-        line = await _measure_idle(cluster, 'e1', 'endpoint', count)
-        for peer in peers:
-            peer.cancel()
-        return line
+        result = await _measure_idle(cluster, 'e1', 'endpoint', count)
+        for entry_task in entry_tasks:
+            entry_task.cancel()
+        return result
     finally:
         await cluster.stop()
 
 
-async def _find_links(cluster: Cluster) -> str:
+async def _fetch_link_url(cluster: Cluster) -> str:
     store = EtcdKeyValue(cluster.url('platform'), 5)
     pair = await store.fetch(f'{MEMBERS_PREFIX}e1')
     await store.close()
     return msgspec.json.decode(pair.stored, type=MemberRecord).url
 
 
-async def _speak(url: str, number: int) -> None:
+async def _run_fake_entry(url: str, number: int) -> None:
     async with connect(url, compression=None, ping_interval=None) as socket:
         hello = wire.Hello(f'p{number}', 'i', 'process-key-of-the-tests')
         await socket.send(serialise_frame([hello]))
-        reader = asyncio.create_task(_drain(socket))
+        reader = asyncio.create_task(_discard_frames(socket))
         while not reader.done():
             await socket.send(serialise_frame([wire.Heartbeat(0, None)]))
             await asyncio.sleep(PLANNED_TIMING['quiet_heartbeat_seconds'])
@@ -145,21 +154,21 @@
     cluster: Cluster, name: str, role: str, count: int
 ) -> CaseResult:
     pid = cluster.parts[name].process.pid
-    before = processor_seconds(pid)
-    await asyncio.sleep(SECONDS)
-    share = (processor_seconds(pid) - before) / SECONDS
+    before = cpu_seconds(pid)
+    await asyncio.sleep(MEASURED_SECONDS)
+    core_share = (cpu_seconds(pid) - before) / MEASURED_SECONDS
     return CaseResult(
         f'idle_{role}',
         {
             'links': count,
-            'core_percent': share * 100,
-            'resident_mb': resident(cluster, name),
+            'core_percent': core_share * 100,
+            'resident_mb': resident_megabytes(cluster, name),
         },
     )
 
 
-async def _measure_work() -> CaseResult:
-    """Return processor time a call and a token at each role."""
+async def _measure_request_cost() -> CaseResult:
+    """Measure the CPU time per call and per token of entry and endpoint."""
     cluster = Cluster(service={'max_running': 128, 'start_running': 128})
     try:
         await cluster.start(
@@ -167,37 +176,45 @@
             services={'s1': 'abertawe'},
             engine_flags=('--capacity=1000000',),
         )
-        calls = await _cost(cluster, 's1', call_many(cluster, CALLS), CALLS)
-        tokens = await _cost(
-            cluster, 'e1', _stream_many(cluster), STREAMS * TOKENS
+        microseconds_per_call = await _measure_cpu_microseconds(
+            cluster, 's1', call_many(cluster, CALL_COUNT), CALL_COUNT
+        )
+        microseconds_per_token = await _measure_cpu_microseconds(
+            cluster,
+            'e1',
+            _run_streams(cluster),
+            STREAM_COUNT * TOKENS_PER_STREAM,
         )
     finally:
         await cluster.stop()
     return CaseResult(
         'work',
         {
-            'entry_us_a_call': calls[0],
-            'endpoint_us_a_call': calls[1],
-            'entry_us_a_token': tokens[0],
-            'endpoint_us_a_token': tokens[1],
+            'entry_us_a_call': microseconds_per_call[0],
+            'endpoint_us_a_call': microseconds_per_call[1],
+            'entry_us_a_token': microseconds_per_token[0],
+            'endpoint_us_a_token': microseconds_per_token[1],
         },
     )
 
 
-async def _cost(cluster: Cluster, endpoint: str, work, count: int):
+async def _measure_cpu_microseconds(
+    cluster: Cluster, endpoint: str, workload, count: int
+):
+    """Return the CPU microseconds per item at entry and endpoint."""
     pids = [cluster.parts[name].process.pid for name in ('entry-1', endpoint)]
-    before = [processor_seconds(pid) for pid in pids]
-    await work
+    before = [cpu_seconds(pid) for pid in pids]
+    await workload
     return [
-        (processor_seconds(pid) - then) / count * 1e6
-        for pid, then in zip(pids, before, strict=True)
+        (cpu_seconds(pid) - seconds_before) / count * 1e6
+        for pid, seconds_before in zip(pids, before, strict=True)
     ]
 
 
-async def _stream_many(cluster: Cluster) -> None:
+async def _run_streams(cluster: Cluster) -> None:
     await asyncio.gather(
         *(
-            complete(cluster.http, cluster.url('entry-1'), TOKENS)
-            for _ in range(STREAMS)
+            complete(cluster.http, cluster.url('entry-1'), TOKENS_PER_STREAM)
+            for _ in range(STREAM_COUNT)
         )
     )
