--- a/bench/claims_rate.py
+++ b/bench/claims_rate.py
@@ -1,4 +1,4 @@
-"""Writes to the key-value service against claims of idempotency keys."""
+"""Rate of key-value writes that claims of idempotency keys cause."""
 
 import asyncio
 import time
@@ -16,88 +16,105 @@
 
 from .results import CaseResult
 
-RATE = 500
-SECONDS = 4
-CLAIMS = RATE * SECONDS
-ENTRIES = 2
-_MOST_WRITES = 50.0
-_LATENCY = 0.003
+CLAIMS_PER_SECOND = 500
+DURATION_SECONDS = 4
+CLAIM_COUNT = CLAIMS_PER_SECOND * DURATION_SECONDS
+ENTRY_COUNT = 2
+_MAX_SWAPS_PER_SECOND = 50.0
+_STORE_LATENCY_SECONDS = 0.003
 
 
 class CountingStore(MemoryKeyValue):
-    """Counts swaps and answers in milliseconds."""
+    """In-memory key-value service that counts swaps and delays answers.
+
+    Attributes
+    ----------
+    swaps
+        Attempted compare-and-swap writes.
+    effective_swaps
+        Writes that took effect.
+    """
 
     def __init__(self) -> None:
-        """Start with nothing counted."""
+        """Start with empty data and counters at zero."""
         super().__init__()
         self.swaps = 0
-        self.swapped = 0
+        self.effective_swaps = 0
 
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
     ) -> SwapResult:
-        """Count and swap."""
-        await asyncio.sleep(_LATENCY)
+        """Write after the latency of the service, and count the attempt."""
+        await asyncio.sleep(_STORE_LATENCY_SECONDS)
         self.swaps += 1
         swap = await super().swap(key, stored, expected, lease)
-        self.swapped += swap.swapped
+        self.effective_swaps += swap.swapped
         return swap
 
 
 def run_claims() -> Iterator[CaseResult]:
-    """Claim at a rate through two entries, with and without one writer."""
+    """Claim keys through two entries, with and without a writer per shard."""
     logger.remove()
-    yield _measure('claims_without_writers', routed=False)
-    line = _measure('claims', routed=True)
-    writes = line.figures['swaps_s']
-    line.bound = f'swaps_s <= {_MOST_WRITES:g}, all granted'
-    line.ok = writes <= _MOST_WRITES and line.figures['granted'] == CLAIMS
-    yield line
+    yield _measure_case('claims_without_writers', use_shard_writers=False)
+    result = _measure_case('claims', use_shard_writers=True)
+    swaps_per_second = result.figures['swaps_s']
+    result.bound = f'swaps_s <= {_MAX_SWAPS_PER_SECOND:g}, all granted'
+    result.ok = (
+        swaps_per_second <= _MAX_SWAPS_PER_SECOND
+        and result.figures['granted'] == CLAIM_COUNT
+    )
+    yield result
 
 
-def _measure(case: str, routed: bool) -> CaseResult:
-    store, took, granted = asyncio.run(_claim_all(routed))
-    took.sort()
+def _measure_case(case: str, use_shard_writers: bool) -> CaseResult:
+    store, wait_seconds, granted = asyncio.run(_run_claims(use_shard_writers))
+    wait_seconds.sort()
     return CaseResult(
         case,
         {
-            'claims_s': RATE,
+            'claims_s': CLAIMS_PER_SECOND,
             'granted': granted,
-            'swaps_s': store.swaps / SECONDS,
-            'effective_swaps_s': store.swapped / SECONDS,
-            'wait_p50_s': took[len(took) // 2],
-            'wait_p99_s': took[len(took) * 99 // 100],
+            'swaps_s': store.swaps / DURATION_SECONDS,
+            'effective_swaps_s': store.effective_swaps / DURATION_SECONDS,
+            'wait_p50_s': wait_seconds[len(wait_seconds) // 2],
+            'wait_p99_s': wait_seconds[len(wait_seconds) * 99 // 100],
         },
     )
 
 
-async def _claim_all(routed: bool) -> tuple[CountingStore, list[float], int]:
+async def _run_claims(
+    use_shard_writers: bool,
+) -> tuple[CountingStore, list[float], int]:
     store = CountingStore()
     settings = ClaimSettings()
     keepers = {
         f'entry-{number}': ClaimKeeper(
             store, SystemClock(), settings, patience=5
         )
-        for number in range(ENTRIES)
+        for number in range(ENTRY_COUNT)
     }
     names = list(keepers)
-    took: list[float] = []
+    wait_seconds: list[float] = []
     tasks = []
-    started = time.monotonic()
-    for number in range(CLAIMS):
-        at = started + number / RATE
-        await asyncio.sleep(max(0, at - time.monotonic()))
-        record = _make_claim(number)
-        name = names[number % ENTRIES]
-        if routed:
+    started_at = time.monotonic()
+    for number in range(CLAIM_COUNT):
+        due_at = started_at + number / CLAIMS_PER_SECOND
+        await asyncio.sleep(max(0, due_at - time.monotonic()))
+        record = _make_claim_record(number)
+        name = names[number % ENTRY_COUNT]
+        if use_shard_writers:
             name = choose_writer(
                 shard_of(record.digest, settings.shards), names
             )
-        tasks.append(asyncio.create_task(_claim(keepers[name], record, took)))
-    return store, took, sum(await asyncio.gather(*tasks))
+        tasks.append(
+            asyncio.create_task(
+                _time_claim(keepers[name], record, wait_seconds)
+            )
+        )
+    return store, wait_seconds, sum(await asyncio.gather(*tasks))
 
 
-def _make_claim(number: int) -> ClaimRecord:
+def _make_claim_record(number: int) -> ClaimRecord:
     return ClaimRecord(
         digest=digest_key('t/o', 's', str(number)),
         nonce=make_identifier(),
@@ -110,10 +127,10 @@
     )
 
 
-async def _claim(
-    keeper: ClaimKeeper, record: ClaimRecord, took: list[float]
+async def _time_claim(
+    keeper: ClaimKeeper, record: ClaimRecord, wait_seconds: list[float]
 ) -> bool:
-    started = time.monotonic()
+    started_at = time.monotonic()
     result = await keeper.claim(ClaimProposal(record))
-    took.append(time.monotonic() - started)
+    wait_seconds.append(time.monotonic() - started_at)
     return result.granted
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -1,4 +1,4 @@
-"""Processor time of decisions and what it grows with."""
+"""CPU time of routing and admission decisions, and how it scales."""
 
 import random
 import time
@@ -18,63 +18,69 @@
 
 from .results import CaseResult
 
-FLEETS = (11, 100, 630, 2000)
-ORGANISATIONS = (10, 230, 2000)
-_REPEATS = 5
-_CALLS = 2000
-_GROWTH = 3.0
-_MICROSECONDS = 1e6
-_MODELS = 31
+FLEET_SIZES = (11, 100, 630, 2000)
+ORGANISATION_COUNTS = (10, 230, 2000)
+_ROUNDS = 5
+_CALLS_PER_ROUND = 2000
+_MAX_GROWTH_RATIO = 3.0
+_MICROSECONDS_PER_SECOND = 1e6
+_SERVICE_COUNT = 31
 
 
 def run_costs() -> Iterator[CaseResult]:
-    """Measure routing and admission."""
+    """Measure routing by fleet size and admission by organisation count."""
     logger.remove()
-    routing = {size: _time_routing(size) for size in FLEETS}
+    routing = {size: _measure_routing(size) for size in FLEET_SIZES}
     for size, cost in routing.items():
         yield CaseResult(
             'routing_cost', {'endpoints': size, 'microseconds': cost}
         )
-    yield _bound('routing_cost_growth', routing)
-    admission = {count: _time_admission(count) for count in ORGANISATIONS}
+    yield _check_growth('routing_cost_growth', routing)
+    admission = {
+        count: _measure_admission(count) for count in ORGANISATION_COUNTS
+    }
     for count, cost in admission.items():
         yield CaseResult(
             'admission_cost', {'organisations': count, 'microseconds': cost}
         )
-    yield _bound('admission_cost_growth', admission)
+    yield _check_growth('admission_cost_growth', admission)
 
 
-def _bound(case: str, costs: dict[int, float]) -> CaseResult:
-    first, last = min(costs), max(costs)
-    ratio = costs[last] / costs[first]
+def _check_growth(case: str, costs: dict[int, float]) -> CaseResult:
+    smallest, largest = min(costs), max(costs)
+    ratio = costs[largest] / costs[smallest]
     return CaseResult(
         case,
-        {'from': first, 'to': last, 'ratio': ratio},
-        f'ratio <= {_GROWTH:g}',
-        ratio <= _GROWTH,
+        {'from': smallest, 'to': largest, 'ratio': ratio},
+        f'ratio <= {_MAX_GROWTH_RATIO:g}',
+        ratio <= _MAX_GROWTH_RATIO,
     )
 
 
-def _best_time(call: Callable[[int], None], calls: int = _CALLS) -> float:
-    """Return the least processor time of a call in microseconds.
+def _measure_min_microseconds(
+    operation: Callable[[int], None], calls: int = _CALLS_PER_ROUND
+) -> float:
+    """Return the CPU microseconds of one call, as the minimum of all rounds.
 
-    The least of several rounds is what the code costs when nothing else
-    runs; the others measure the machine.
+    The minimum is closest to the cost of the code itself; slower rounds
+    include interference from other processes on the machine.
     """
     rounds = []
-    for _round in range(_REPEATS):
-        started = time.process_time()
+    for _round in range(_ROUNDS):
+        started_at = time.process_time()
         for number in range(calls):
-            call(number)
-        rounds.append((time.process_time() - started) / calls)
-    return min(rounds) * _MICROSECONDS
+            operation(number)
+        rounds.append((time.process_time() - started_at) / calls)
+    return min(rounds) * _MICROSECONDS_PER_SECOND
 
 
-def _time_routing(size: int) -> float:
+def _measure_routing(size: int) -> float:
     clock = SystemClock()
-    fleet = Fleet('entry-1', _settings(), clock, Timing(silence_seconds=1e9))
+    fleet = Fleet(
+        'entry-1', _make_settings(), clock, Timing(silence_seconds=1e9)
+    )
     for number in range(size):
-        fleet.apply_member(_member(number))
+        fleet.apply_member(_make_member(number))
     fleet.rebuild()
     for view in fleet.views.values():
         view.linked = True
@@ -86,10 +92,10 @@
         usable = fleet.usable('t', 's0')
         policy.choose(usable, Work('t/o', f'prompt {number}'))
 
-    return _best_time(route)
+    return _measure_min_microseconds(route)
 
 
-def _settings() -> SettingsStore:
+def _make_settings() -> SettingsStore:
     store = SettingsStore()
     store.merge(
         SettingsRecord('t', 1, '{"services": {"s0": {"kind": "model"}}}')
@@ -97,33 +103,35 @@
     return store
 
 
-def _member(number: int) -> MemberRecord:
+def _make_member(number: int) -> MemberRecord:
     return MemberRecord(
         name=f'e{number}',
         vm=f'v{number}',
         team='t',
-        service='s0' if number % 2 else f's{number % _MODELS}',
+        service='s0' if number % 2 else f's{number % _SERVICE_COUNT}',
         failure_domain=f'd{number % 5}',
         incarnation='1',
         url='',
     )
 
 
-def _time_admission(organisations: int) -> float:
+def _measure_admission(organisations: int) -> float:
     targets = ConcurrencyTargets(
         start=64, most=64, first_token=1, between_tokens=0.1
     )
     admission = Admission(SystemClock(), targets, 256, 100_000)
     for number in range(organisations * 2):
-        _serve(admission, number, organisations)
+        _admit_and_finish(admission, number, organisations)
 
-    def serve(number: int) -> None:
-        _serve(admission, number, organisations)
+    def admit(number: int) -> None:
+        _admit_and_finish(admission, number, organisations)
 
-    return _best_time(serve)
+    return _measure_min_microseconds(admit)
 
 
-def _serve(admission: Admission, number: int, organisations: int) -> None:
+def _admit_and_finish(
+    admission: Admission, number: int, organisations: int
+) -> None:
     name = str(number)
     admission.offer(
         AdmissionRequest(
--- a/bench/table_change.py
+++ b/bench/table_change.py
@@ -1,4 +1,4 @@
-"""Bytes and time that a change of the operators' routes takes to an entry."""
+"""Bytes and time that a change of the route table takes to reach an entry."""
 
 import json
 import time
@@ -10,42 +10,48 @@
 
 from .results import CaseResult
 
-_ROUTES = (100, 1_900, 10_000)
-_LINE_BITS_A_SECOND = 10_000_000
-_BITS = 8
-# A change of one route may not cost more than this share of the table.
-_MOST_SHARE = 0.05
+_ROUTE_COUNTS = (100, 1_900, 10_000)
+_LINK_BITS_PER_SECOND = 10_000_000
+_BITS_PER_BYTE = 8
+# Maximum size of a patch for one changed route, as a share of the whole table.
+_MAX_PATCH_SHARE = 0.05
 
 
 def run_table_change() -> Iterator[CaseResult]:
-    """Measure a change of one route, told whole and as a difference."""
-    for count in _ROUTES:
-        older, newer = _table(count, 1), _table(count, 2)
-        began = time.process_time()
+    """Measure a change of one route, sent as the whole table and as a patch."""
+    for count in _ROUTE_COUNTS:
+        older, newer = _make_table(count, 1), _make_table(count, 2)
+        started_at = time.process_time()
         patch = make_patch(older, newer)
-        made = time.process_time() - began
+        make_seconds = time.process_time() - started_at
         apply_patch(older, patch.inserted, patch.copies)
-        applied = time.process_time() - began - made
-        rows = [list(row) for row in patch.copies]
-        whole = _size(wire.StoredPair('t', 2, False, newer))
-        part = _size(_patched(patch.inserted, rows))
+        apply_seconds = time.process_time() - started_at - make_seconds
+        copies = [list(row) for row in patch.copies]
+        whole_bytes = _count_frame_bytes(wire.StoredPair('t', 2, False, newer))
+        patch_bytes = _count_frame_bytes(
+            _make_patch_pair(patch.inserted, copies)
+        )
         yield CaseResult(
             'table_change',
             {
                 'routes': count,
-                'whole_bytes': whole,
-                'patch_bytes': part,
-                'whole_line_seconds': whole * _BITS / _LINE_BITS_A_SECOND,
-                'patch_line_seconds': part * _BITS / _LINE_BITS_A_SECOND,
-                'make_seconds': made,
-                'apply_seconds': applied,
+                'whole_bytes': whole_bytes,
+                'patch_bytes': patch_bytes,
+                'whole_line_seconds': whole_bytes
+                * _BITS_PER_BYTE
+                / _LINK_BITS_PER_SECOND,
+                'patch_line_seconds': patch_bytes
+                * _BITS_PER_BYTE
+                / _LINK_BITS_PER_SECOND,
+                'make_seconds': make_seconds,
+                'apply_seconds': apply_seconds,
             },
-            f'patch_bytes <= {_MOST_SHARE:g} of whole_bytes',
-            part <= whole * _MOST_SHARE,
+            f'patch_bytes <= {_MAX_PATCH_SHARE:g} of whole_bytes',
+            patch_bytes <= whole_bytes * _MAX_PATCH_SHARE,
         )
 
 
-def _table(count: int, version: int) -> bytes:
+def _make_table(count: int, version: int) -> bytes:
     routes = [
         {
             'name': f'route-{number}',
@@ -63,11 +69,18 @@
     return json.dumps({'version': version, 'routes': routes}).encode()
 
 
-def _patched(fresh: bytes, rows: list[list[int]]) -> wire.StoredPair:
+def _make_patch_pair(
+    inserted: bytes, copies: list[list[int]]
+) -> wire.StoredPair:
     return wire.StoredPair(
-        key='t', revision=2, deleted=False, stored=fresh, base=1, copies=rows
+        key='t',
+        revision=2,
+        deleted=False,
+        stored=inserted,
+        base=1,
+        copies=copies,
     )
 
 
-def _size(pair: wire.StoredPair) -> int:
+def _count_frame_bytes(pair: wire.StoredPair) -> int:
     return len(serialise_frame([wire.PairsTold('', 1, 2, [pair])]))
