--- a/bench/policies.py
+++ b/bench/policies.py
@@ -150,8 +150,10 @@
     mean_held_tokens = token_steps / tokens
     tokens_per_second = 0.0
     for shape in ENGINE_SHAPES:
-        batch = min(shape.most_running, shape.capacity / mean_held_tokens)
-        tokens_per_second += batch / (shape.step + shape.step_each * batch)
+        batch = min(shape.max_batch_size, shape.capacity / mean_held_tokens)
+        tokens_per_second += batch / (
+            shape.step + shape.step_seconds_per_stream * batch
+        )
     return tokens_per_second / (tokens / len(jobs))
 
 
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -17,7 +17,12 @@
 from primrosewood.retries import RetryBudget, jitter
 from primrosewood.routing import Policy, Work
 from primrosewood.warmup import ConcurrencyTargets
-from standins.enginemodel import EngineModel, EngineShape, ModelStream, Step
+from standins.enginemodel import (
+    EngineModel,
+    EngineShape,
+    ModelStream,
+    StepResult,
+)
 
 REPORT_INTERVAL_SECONDS = 1.0
 TICK_INTERVAL_SECONDS = 0.1
@@ -200,7 +205,7 @@
         at = self._simulation.clock.now + step.seconds
         self._simulation.schedule(at, lambda: self._end_step(step))
 
-    def _end_step(self, step: Step) -> None:
+    def _end_step(self, step: StepResult) -> None:
         if self.dead:
             return
         for stream in step.emitted:
@@ -506,7 +511,7 @@
     a fifth.
     """
     batch = shape.capacity / 500
-    step = (shape.step + shape.step_each * batch) * 1.2
+    step = (shape.step + shape.step_seconds_per_stream * batch) * 1.2
     return ConcurrencyTargets(
         start=start,
         most=_MAX_RUNNING,
--- a/primrosewood/endpoint.py
+++ b/primrosewood/endpoint.py
@@ -14,7 +14,7 @@
 from .etcd import EtcdKeyValue
 from .gen_stored import MemberRecord
 from .identity import make_identifier
-from .linkserver import LinkServer, ServerSide
+from .linkserver import LinkServer, LinkServerCallbacks
 from .logs import log_event
 from .metrics import Metrics
 from .process import run_process, spawn
@@ -71,7 +71,7 @@
         self._server = LinkServer(
             self._store,
             config.keys.process_key,
-            ServerSide(
+            LinkServerCallbacks(
                 welcome=self._welcome,
                 load=lambda: self._worker.load,
                 handle=self._worker.handle,
--- a/primrosewood/entry.py
+++ b/primrosewood/entry.py
@@ -24,7 +24,7 @@
 from .identity import make_identifier
 from .link import Link
 from .linkpool import LinkPool
-from .linkserver import LinkServer, ServerSide
+from .linkserver import LinkServer, LinkServerCallbacks
 from .logs import log_event
 from .metrics import Metrics
 from .process import run_process, spawn
@@ -80,7 +80,7 @@
         self._server = LinkServer(
             self._store,
             config.keys.process_key,
-            ServerSide(
+            LinkServerCallbacks(
                 welcome=self._welcome,
                 load=lambda: None,
                 handle=self._handle_peer,
--- a/primrosewood/httpclient.py
+++ b/primrosewood/httpclient.py
@@ -4,10 +4,10 @@
 
 from .errors import BackendCutError
 
-__all__ = ('never_repeat',)
+__all__ = ('prevent_resend',)
 
 
-async def never_repeat(
+async def prevent_resend(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
     """Make the break of a connection an error that the library passes on.
--- a/primrosewood/httpserver.py
+++ b/primrosewood/httpserver.py
@@ -14,7 +14,7 @@
     'HttpLimits',
     'listen',
     'listen_metrics',
-    'release_connections',
+    'close_idle_connections',
     'split_address',
     'stop_listening',
 )
@@ -54,7 +54,7 @@
 
     idle_seconds: float = 300
     head_bytes: int = 65536
-    head_seconds: Callable[[], float] = lambda: _HEAD_SECONDS
+    header_timeout_seconds: Callable[[], float] = lambda: _HEAD_SECONDS
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -69,7 +69,7 @@
     """Serve a handler; it is cancelled when its caller leaves."""
     server = _Server(
         handler,
-        limits.head_seconds,
+        limits.header_timeout_seconds,
         handler_cancellation=True,
         access_log=None,
         keepalive_timeout=limits.idle_seconds,
@@ -83,7 +83,7 @@
     return runner
 
 
-def release_connections(runner: web.ServerRunner) -> None:
+def close_idle_connections(runner: web.ServerRunner) -> None:
     """Close the connections that are idle now.
 
     A caller that keeps a connection open uses it again however long its
@@ -105,14 +105,17 @@
     """Gives each connection a handler that times heads."""
 
     def __init__(
-        self, handler: Handler, head_seconds: Callable[[], float], **options
+        self,
+        handler: Handler,
+        header_timeout_seconds: Callable[[], float],
+        **options,
     ) -> None:
         super().__init__(handler, **options)
-        self._head_seconds = head_seconds
+        self._header_timeout_seconds = header_timeout_seconds
 
     def __call__(self) -> web.RequestHandler:
         return _TimedHandler(
-            self, self._head_seconds, loop=self._loop, **self._kwargs
+            self, self._header_timeout_seconds, loop=self._loop, **self._kwargs
         )
 
 
@@ -129,11 +132,11 @@
     def __init__(
         self,
         server: web.Server,
-        head_seconds: Callable[[], float],
+        header_timeout_seconds: Callable[[], float],
         **options,
     ) -> None:
         super().__init__(server, **options)
-        self._head_seconds = head_seconds
+        self._header_timeout_seconds = header_timeout_seconds
         self._timer: asyncio.TimerHandle | None = None
         self._used = False
 
@@ -146,7 +149,9 @@
             self._stop_timer()
         elif self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(self._head_seconds(), self._give_up)
+            self._timer = loop.call_later(
+                self._header_timeout_seconds(), self._give_up
+            )
 
     def release(self) -> None:
         """Close the connection if it is idle.
--- a/primrosewood/link.py
+++ b/primrosewood/link.py
@@ -13,7 +13,7 @@
 from .errors import WireError
 from .logs import log_event
 
-__all__ = ('CONNECT_ERRORS', 'Link', 'Source', 'read_greeting')
+__all__ = ('CONNECT_ERRORS', 'Link', 'Source', 'receive_hello')
 
 # What ends an attempt to connect, or an established connection.
 CONNECT_ERRORS = (
@@ -120,7 +120,7 @@
             await self._socket.send(serialise_frame(group))
 
 
-async def read_greeting(
+async def receive_hello(
     socket: Connection, key: str, seconds: float
 ) -> wire.Hello:
     """Return the greeting of a peer that has the right key.
--- a/primrosewood/linkserver.py
+++ b/primrosewood/linkserver.py
@@ -12,11 +12,11 @@
 from .codec import Message, serialise_frame
 from .gen_process import Limits, Listen
 from .gossip import handle_settings_message, heartbeat
-from .link import CONNECT_ERRORS, Link, read_greeting
+from .link import CONNECT_ERRORS, Link, receive_hello
 from .logs import log_event
 from .settings import SettingsStore
 
-__all__ = ('LinkServer', 'ServerSide')
+__all__ = ('LinkServer', 'LinkServerCallbacks')
 
 _HANDSHAKE_SECONDS = 2.0
 _UNAUTHENTICATED = 1008
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerSide:
+class LinkServerCallbacks:
     """What the owner of a link server provides.
 
     Attributes
@@ -49,7 +49,7 @@
     """Accepts links of peers that know the process key."""
 
     def __init__(
-        self, store: SettingsStore, process_key: str, side: ServerSide
+        self, store: SettingsStore, process_key: str, side: LinkServerCallbacks
     ) -> None:
         """Start without links."""
         self._store = store
@@ -107,7 +107,7 @@
         await self._run_link(socket, hello.process)
 
     async def _greet(self, socket: ServerConnection) -> wire.Hello:
-        hello = await read_greeting(
+        hello = await receive_hello(
             socket, self._process_key, _HANDSHAKE_SECONDS
         )
         await socket.send(serialise_frame([self._side.welcome()]))
--- a/primrosewood/platform/documents.py
+++ b/primrosewood/platform/documents.py
@@ -77,7 +77,9 @@
 class _Limits(msgspec.Struct):
     max_header_bytes: Count = CallerLimits().header_bytes
     max_body_bytes: Count = CallerLimits().body_bytes
-    header_timeout_ms: Number = CallerLimits().head_seconds * _MILLISECONDS
+    header_timeout_ms: Number = (
+        CallerLimits().header_timeout_seconds * _MILLISECONDS
+    )
 
 
 class _Holder(msgspec.Struct):
--- a/primrosewood/platform/entry.py
+++ b/primrosewood/platform/entry.py
@@ -18,7 +18,7 @@
     HttpLimits,
     listen,
     listen_metrics,
-    release_connections,
+    close_idle_connections,
     split_address,
     stop_listening,
 )
@@ -118,7 +118,7 @@
         callers = await listen(
             self._front.handle,
             settings.entry.callers,
-            HttpLimits(head_seconds=self._head_seconds),
+            HttpLimits(header_timeout_seconds=self._header_timeout_seconds),
         )
         runners = [
             callers,
@@ -195,9 +195,11 @@
         watch('endpoints', lambda: len(self._backends.backends))
         watch('entries', lambda: self._entries.count)
 
-    def _head_seconds(self) -> float:
+    def _header_timeout_seconds(self) -> float:
         table = self._tables.table
-        return (table.limits if table else CallerLimits()).head_seconds
+        return (
+            table.limits if table else CallerLimits()
+        ).header_timeout_seconds
 
     def _is_ready(self) -> bool:
         # Stays ready through an outage of the key-value service, with what
@@ -228,10 +230,10 @@
             )
 
     async def _wait_answered(self, callers: web.ServerRunner) -> None:
-        release_connections(callers)
+        close_idle_connections(callers)
         while self._front.active or has_unsent_data(callers):
             await asyncio.sleep(_TICK_SECONDS)
-            release_connections(callers)
+            close_idle_connections(callers)
 
     async def _close(
         self, tasks: list[asyncio.Task], runners: list[web.ServerRunner]
--- a/primrosewood/process.py
+++ b/primrosewood/process.py
@@ -20,7 +20,7 @@
 from .reload import Node, SettingsReloader, digest_settings
 
 __all__ = (
-    'log_failure',
+    'log_unexpected_error',
     'run_node',
     'run_process',
     'spawn',
@@ -44,7 +44,7 @@
     return task
 
 
-def log_failure(work: str, error: BaseException) -> None:
+def log_unexpected_error(work: str, error: BaseException) -> None:
     """Log an error that nothing expected, without its text.
 
     The text may hold a caller's data; the place where it arose does not.
@@ -160,7 +160,7 @@
 def _note_end(task: asyncio.Task) -> None:
     _background.discard(task)
     if not task.cancelled() and task.exception() is not None:
-        log_failure(task.get_name(), task.exception())
+        log_unexpected_error(task.get_name(), task.exception())
 
 
 def _place_of(error: BaseException) -> str:
--- a/primrosewood/routes.py
+++ b/primrosewood/routes.py
@@ -135,7 +135,7 @@
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
-    head_seconds: float = 10
+    header_timeout_seconds: float = 10
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/processes/test_entry_stop.py
+++ b/tests/processes/test_entry_stop.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from primrosewood.httpclient import never_repeat
+from primrosewood.httpclient import prevent_resend
 
 from .callers import call_service, complete
 from .harness import OPERATOR_KEY, Cluster
@@ -247,7 +247,7 @@
         await self.wait_logged('event=draining')
         base = self.cluster.parts['entry-1'].extra['administration']
         async with (
-            aiohttp.ClientSession(middlewares=(never_repeat,)) as session,
+            aiohttp.ClientSession(middlewares=(prevent_resend,)) as session,
             session.put(
                 f'{base}/settings/platform/failure_domains/caerdydd',
                 json={'state': 'out'},
--- a/tests/test_platform_explain.py
+++ b/tests/test_platform_explain.py
@@ -18,7 +18,7 @@
 from primrosewood.logs import configure_logs
 from primrosewood.requesttrace import trace_request
 
-from .deployment import GUIDE, Deployment
+from .deployment import GENERATION_HEADERS, Deployment
 
 
 class ExplainTest(Deployment):
@@ -60,7 +60,7 @@
         for engine in self.engines.values():
             engine.events = 20
         reading = asyncio.create_task(
-            self.call('POST', '/guide/1', headers=GUIDE)
+            self.call('POST', '/guide/1', headers=GENERATION_HEADERS)
         )
         await asyncio.sleep(0.2)
         for engine in self.engines.values():
@@ -86,7 +86,7 @@
         for engine in self.engines.values():
             engine.events = 1000
         reading = asyncio.create_task(
-            self.call('POST', '/guide/1', headers=GUIDE)
+            self.call('POST', '/guide/1', headers=GENERATION_HEADERS)
         )
         await asyncio.sleep(0.3)
         for engine in self.engines.values():
@@ -103,7 +103,9 @@
 
     async def has_reports(self):
         """Tell whether both engines have reported to the entry."""
-        await self.call('POST', '/guide/1', name='ef56', headers=GUIDE)
+        await self.call(
+            'POST', '/guide/1', name='ef56', headers=GENERATION_HEADERS
+        )
         lines = self.grep('event=sent request=ef56.*report_age=')
         reported = {re.search('endpoint=[^ ]+', line)[0] for line in lines}
         return len(reported) == len(self.engines)
@@ -136,7 +138,7 @@
         The lines must say that its outcome is unknown, and that it was sent
         only once.
         """
-        self.service.spoil = lambda request: request.transport.abort()
+        self.service.inject_fault = lambda request: request.transport.abort()
         self.assertEqual(502, await self.status('POST', '/issue/', data=b'x'))
         doubtful = self.grep('request=ab12.*event=send_failed') or self.grep(
             'event=send_failed.*request=ab12'
@@ -153,7 +155,9 @@
         )
 
     async def test_no_line_contains_a_secret(self):
-        await self.call('POST', '/guide/1', headers=GUIDE, data=b'our prompt')
+        await self.call(
+            'POST', '/guide/1', headers=GENERATION_HEADERS, data=b'our prompt'
+        )
         await self.call(
             'GET', '/lookup/', headers={'Authorization': 'Bearer z9'}
         )
