--- a/primrosewood/endpoint.py
+++ b/primrosewood/endpoint.py
@@ -1,4 +1,4 @@
-"""The process beside an engine or plain service: the only door to it."""
+"""Endpoint process: the only access to one engine or plain service."""
 
 import asyncio
 
@@ -25,22 +25,22 @@
 __all__ = ('EndpointProcess', 'main', 'run')
 
 _TICK_SECONDS = 0.1
-_LOAD_SECONDS = 1.0
-_POLL_FACTOR = 6
-# What entries sent before they heard of the leave comes within a round trip
-# between regions, and the time that a busy entry takes to read.
-_NEWS_SECONDS = 0.5
+_LOAD_POLL_SECONDS = 1.0
+_SETTINGS_POLL_FACTOR = 6
+# Covers a round trip between regions and the time a busy entry takes to read:
+# an offer sent before the entry learnt of the drain arrives within it.
+_LATE_OFFER_SECONDS = 0.5
 
 
 class EndpointProcess:
-    """Ties links, worker, membership record and settings together."""
+    """Connects the link server, worker, membership record and settings."""
 
     def __init__(self, config: ProcessConfig) -> None:
-        """Prepare; nothing is opened yet."""
+        """Create the components without opening ports or connections."""
         self._config = config
         settings = config.settings
         self._settings = settings
-        self._place = EndpointIdentity(
+        self._identity = EndpointIdentity(
             name=settings.name,
             incarnation=make_identifier(),
             team=settings.endpoint.team,
@@ -52,14 +52,16 @@
         timeout = settings.timing.store_timeout_seconds
         self._key_value = EtcdKeyValue(settings.store_url, timeout)
         self._announcer = Announcer(
-            self._key_value, self._member(), settings.timing.lease_seconds
+            self._key_value,
+            self._make_member_record(),
+            settings.timing.lease_seconds,
         )
         self._server_tls = make_contexts(settings.tls, config.folder)[0]
         url = settings.endpoint.backend_url
         self._engine = HttpEngine(url)
         self._service = HttpService(url)
         self._worker = Worker(
-            place=self._place,
+            place=self._identity,
             store=self._store,
             engine=self._engine,
             plain_service=self._service,
@@ -68,89 +70,93 @@
             timing=settings.timing,
             metrics=self._metrics,
         )
-        self._server = LinkServer(
+        self._link_server = LinkServer(
             self._store,
             config.keys.process_key,
             ServerSide(
-                welcome=self._welcome,
-                load=lambda: self._worker.load,
-                handle=self._worker.handle,
-                dropped=self._worker.drop_link,
+                make_welcome=self._make_welcome,
+                current_load=lambda: self._worker.load,
+                handle_message=self._worker.handle,
+                on_link_closed=self._worker.drop_link,
             ),
         )
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until asked to stop, then end gracefully."""
-        tasks = [spawn(self._follow_settings(), 'settings')]
-        self._watch_metrics()
-        self._store.changes.subscribe(lambda _record: self._server.broadcast())
+        """Serve until the event is set, then drain and shut down."""
+        tasks = [spawn(self._poll_settings(), 'settings')]
+        self._register_metrics()
+        self._store.changes.subscribe(
+            lambda _record: self._link_server.broadcast()
+        )
         listen = self._settings.endpoint.links
         limits = self._settings.limits
-        async with self._server.listen(listen, limits, self._server_tls):
-            runner = await self._serve_metrics()
-            tasks.append(spawn(self._tick(), 'tick'))
-            seconds = self._settings.timing.heartbeat_seconds
-            beating = self._server.run_heartbeats(seconds)
-            tasks.append(spawn(beating, 'heartbeats'))
-            tasks.append(spawn(self._read_load(), 'engine load'))
-            announcing = spawn(self._announcer.run(), 'lease')
+        async with self._link_server.listen(listen, limits, self._server_tls):
+            metrics_runner = await self._serve_metrics()
+            tasks.append(spawn(self._tick_periodically(), 'tick'))
+            heartbeat_seconds = self._settings.timing.heartbeat_seconds
+            heartbeats = self._link_server.run_heartbeats(heartbeat_seconds)
+            tasks.append(spawn(heartbeats, 'heartbeats'))
+            tasks.append(spawn(self._poll_engine_load(), 'engine load'))
+            announcer_task = spawn(self._announcer.run(), 'lease')
             await stop.wait()
-            await self._leave(announcing)
+            await self._drain(announcer_task)
         for task in tasks:
             task.cancel()
-        if runner is not None:
-            await runner.cleanup()
+        if metrics_runner is not None:
+            await metrics_runner.cleanup()
         await self._engine.close()
         await self._service.close()
         await self._key_value.close()
 
-    def _watch_metrics(self) -> None:
+    def _register_metrics(self) -> None:
         admission = self._worker.admission
         watch = self._metrics.watch
         watch('running', lambda: admission.running)
         watch('queued', lambda: len(admission.queue))
         watch('limit', lambda: admission.limit.limit)
         watch('memory_permille', lambda: admission.memory.permille)
-        watch('links', lambda: self._server.count)
+        watch('links', lambda: self._link_server.count)
 
-    async def _follow_settings(self) -> None:
-        # Connected entries bring changes within a heartbeat, so this process
-        # holds no watch; slow polls cover the time without connections.
-        seconds = self._settings.timing.poll_seconds * _POLL_FACTOR
+    async def _poll_settings(self) -> None:
+        # Connected entries report changes within one heartbeat, so this
+        # process opens no watch; slow polls cover times without connections.
+        poll_seconds = (
+            self._settings.timing.poll_seconds * _SETTINGS_POLL_FACTOR
+        )
         watcher = Watcher(
             self._key_value,
             SETTINGS_PREFIX,
-            WatchPace(seconds),
+            WatchPace(poll_seconds),
             self._store.take_pair,
         )
         await watcher.run(watch=False)
 
-    def _member(self) -> MemberRecord:
+    def _make_member_record(self) -> MemberRecord:
         endpoint = self._settings.endpoint
         return make_member(
             self._settings,
             endpoint.links,
-            self._place.incarnation,
+            self._identity.incarnation,
             team=endpoint.team,
             service=endpoint.service,
         )
 
-    def _welcome(self) -> wire.Welcome:
+    def _make_welcome(self) -> wire.Welcome:
         return wire.Welcome(
-            process=self._place.name,
-            incarnation=self._place.incarnation,
-            failure_domain=self._place.failure_domain,
+            process=self._identity.name,
+            incarnation=self._identity.incarnation,
+            failure_domain=self._identity.failure_domain,
             load=self._worker.load,
         )
 
-    async def _tick(self) -> None:
+    async def _tick_periodically(self) -> None:
         while True:
             await asyncio.sleep(_TICK_SECONDS)
             self._worker.tick()
 
-    async def _read_load(self) -> None:
+    async def _poll_engine_load(self) -> None:
         while True:
-            await asyncio.sleep(_LOAD_SECONDS)
+            await asyncio.sleep(_LOAD_POLL_SECONDS)
             if not self._worker.serves_model:
                 continue
             try:
@@ -165,33 +171,35 @@
         if not listen:
             return None
         app = web.Application()
-        app.router.add_get('/metrics', self._show_metrics)
+        app.router.add_get('/metrics', self._handle_metrics)
         runner = web.AppRunner(app, access_log=None)
         await runner.setup()
         await web.TCPSite(runner, listen.host, listen.port).start()
         return runner
 
-    async def _show_metrics(self, _request: web.Request) -> web.Response:
+    async def _handle_metrics(self, _request: web.Request) -> web.Response:
         return web.Response(body=self._metrics.expose())
 
-    async def _leave(self, announcing: asyncio.Task) -> None:
+    async def _drain(self, announcer_task: asyncio.Task) -> None:
         log_event('leaving')
         self._worker.leave()
-        self._server.broadcast()
+        self._link_server.broadcast()
         await self._announcer.leave()
-        await self._finish_work()
-        # Until now the record tells entries that start where streams run.
-        announcing.cancel()
+        await self._wait_until_idle()
+        # The membership record stays until the work is done, so that entries
+        # that start meanwhile find the endpoint and can resume its streams.
+        announcer_task.cancel()
         await self._announcer.withdraw()
-        await self._server.close_links()
+        await self._link_server.close_links()
 
-    async def _finish_work(self) -> None:
-        deadline = self._settings.timing.stop_seconds
+    async def _wait_until_idle(self) -> None:
+        timeout_seconds = self._settings.timing.stop_seconds
         try:
-            async with asyncio.timeout(deadline):
-                # An offer that finds the link closed may have run, as far as
-                # its entry knows; here it is refused.
-                await asyncio.sleep(_NEWS_SECONDS)
+            async with asyncio.timeout(timeout_seconds):
+                # Keeps the links open for offers that are still on the way.
+                # An entry whose offer meets a closed link cannot know whether
+                # it ran; an offer that arrives here is refused instead.
+                await asyncio.sleep(_LATE_OFFER_SECONDS)
                 while not self._worker.idle:
                     await asyncio.sleep(_TICK_SECONDS)
         except TimeoutError:
@@ -201,8 +209,9 @@
 def run(settings: str, check: bool = False) -> None:
     """Run the process beside one engine or plain service.
 
-    SIGTERM and SIGINT ask for a planned stop: new work is refused, and the
-    process ends when every running answer has been handed on.
+    SIGTERM and SIGINT start a graceful shutdown: new work is refused, and the
+    process exits when the outcome of all accepted work has been delivered, or
+    when the stop timeout expires.
 
     Parameters
     ----------
@@ -210,13 +219,13 @@
         Path of the local settings file (JSON); `primrosewood-ctl schema
         process` prints its schema.
     check
-        Only check the settings file and the key file it names.
+        Only validate the settings file and the key file that it names.
     """
     run_process(_run, 'endpoint', settings, check)
 
 
 def main() -> None:
-    """Run the binary ``primrosewood-endpoint``."""
+    """Run the program ``primrosewood-endpoint``."""
     fire.Fire(run, name='primrosewood-endpoint')
 
 
--- a/primrosewood/entry.py
+++ b/primrosewood/entry.py
@@ -1,4 +1,4 @@
-"""The process on an entry VM: callers' HTTP and the administration API."""
+"""Entry process: serves the callers' HTTP API and the administration API."""
 
 import asyncio
 
@@ -37,17 +37,18 @@
 
 __all__ = ('EntryProcess', 'main', 'run')
 
-_STEP_SECONDS = 0.05
-_REBUILD_SECONDS = 1.0
-_CUT_SECONDS = 1.0
-_ASK_SHARE = 0.6
+_DRAIN_POLL_SECONDS = 0.05
+_DEAD_MEMBER_CHECK_SECONDS = 1.0
+_HTTP_SHUTDOWN_SECONDS = 1.0
+# Share of the store timeout that another entry has to answer a claim.
+_PEER_TIMEOUT_SHARE = 0.6
 
 
 class EntryProcess:
-    """Ties callers, administration, connections and settings together."""
+    """Connects the HTTP APIs, links to endpoints, membership and settings."""
 
     def __init__(self, config: ProcessConfig) -> None:
-        """Prepare; nothing is opened yet."""
+        """Create the components without opening ports or connections."""
         self._config = config
         settings = config.settings
         self._settings = settings
@@ -74,102 +75,112 @@
             clock=self._clock,
             random=self._random,
         )
-        self._claims = self._make_claims()
-        self._callers = self._make_callers()
-        self._administration = self._make_administration()
-        self._server = LinkServer(
+        self._claim_router = self._make_claim_router()
+        self._caller_api = self._make_caller_api()
+        self._administration_api = self._make_administration_api()
+        self._link_server = LinkServer(
             self._store,
             config.keys.process_key,
             ServerSide(
-                welcome=self._welcome,
-                load=lambda: None,
-                handle=self._handle_peer,
-                dropped=lambda _link: None,
+                make_welcome=self._make_welcome,
+                current_load=lambda: None,
+                handle_message=self._handle_peer_message,
+                on_link_closed=lambda _link: None,
             ),
         )
         self._announcer = Announcer(
-            self._key_value, self._member(), settings.timing.lease_seconds
+            self._key_value,
+            self._make_member_record(),
+            settings.timing.lease_seconds,
         )
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until asked to stop, then end gracefully."""
+        """Serve until the event is set, then drain and shut down."""
         entry = self._settings.entry
         limits = self._settings.limits
-        async with self._server.listen(entry.links, limits, self._server_tls):
-            tasks = self._start_followers()
-            callers = await self._listen(
-                self._callers.make_app(), entry.callers
+        async with self._link_server.listen(
+            entry.links, limits, self._server_tls
+        ):
+            tasks = self._start_background_tasks()
+            caller_runner = await self._listen(
+                self._caller_api.make_app(), entry.callers
             )
-            administration = await self._listen(
-                self._administration.make_app(), entry.administration
+            administration_runner = await self._listen(
+                self._administration_api.make_app(), entry.administration
             )
-            self._callers.ready = True
+            self._caller_api.ready = True
             await stop.wait()
-            await self._drain(callers, administration)
+            await self._drain(caller_runner, administration_runner)
             await self._announcer.withdraw()
             for task in tasks:
                 task.cancel()
             self._links.stop()
-            await callers.cleanup()
-            await administration.cleanup()
+            await caller_runner.cleanup()
+            await administration_runner.cleanup()
         await self._key_value.close()
 
-    def _start_followers(self) -> list[asyncio.Task]:
+    def _start_background_tasks(self) -> list[asyncio.Task]:
         timing = self._settings.timing
         scheduler = AsyncIOScheduler(asyncio.get_running_loop())
-        self._fleet.changes(scheduler).subscribe(lambda _name: self._relink())
-        self._store.changes.subscribe(lambda _record: self._spread())
-        settings = Watcher(
+        self._fleet.changes(scheduler).subscribe(
+            lambda _name: self._update_links()
+        )
+        self._store.changes.subscribe(
+            lambda _record: self._handle_settings_change()
+        )
+        settings_watcher = Watcher(
             self._key_value,
             SETTINGS_PREFIX,
             WatchPace(timing.poll_seconds),
             self._store.take_pair,
         )
-        members = Watcher(
+        member_watcher = Watcher(
             self._key_value,
             MEMBERS_PREFIX,
             WatchPace(timing.poll_seconds),
             self._fleet.take_pair,
         )
         tasks = [
-            spawn(settings.run(), 'settings'),
-            spawn(members.run(), 'members'),
+            spawn(settings_watcher.run(), 'settings'),
+            spawn(member_watcher.run(), 'members'),
             spawn(self._links.run_heartbeats(), 'heartbeats'),
             spawn(
-                self._server.run_heartbeats(timing.quiet_heartbeat_seconds),
+                self._link_server.run_heartbeats(
+                    timing.quiet_heartbeat_seconds
+                ),
                 'heartbeats to entries',
             ),
             spawn(self._announcer.run(), 'lease'),
-            spawn(self._relink_now_and_then(), 'relink'),
+            spawn(self._remove_dead_members_periodically(), 'relink'),
         ]
         if self._settings.vm_list_url:
-            tasks.append(spawn(self._make_vm_list().run(), 'vm list'))
+            tasks.append(spawn(self._make_vm_list_poller().run(), 'vm list'))
         return tasks
 
-    def _make_vm_list(self) -> HttpVmList:
+    def _make_vm_list_poller(self) -> HttpVmList:
         return HttpVmList(
             self._settings.vm_list_url,
             self._settings.timing.vm_list_seconds,
             self._fleet.take_vms,
         )
 
-    def _make_claims(self) -> ClaimRouter:
+    def _make_claim_router(self) -> ClaimRouter:
         settings = self._settings
-        patience = settings.timing.store_timeout_seconds
-        keeper = ClaimKeeper(
-            self._key_value, self._clock, settings.claims, patience
+        timeout_seconds = settings.timing.store_timeout_seconds
+        claim_keeper = ClaimKeeper(
+            self._key_value, self._clock, settings.claims, timeout_seconds
         )
-        self._metrics.watch('claim_swaps', lambda: keeper.swaps)
+        self._metrics.watch('claim_swaps', lambda: claim_keeper.swaps)
         return ClaimRouter(
             name=settings.name,
-            keeper=keeper,
+            keeper=claim_keeper,
             fleet=self._fleet,
             links=self._links,
             shards=settings.claims.shards,
-            patience=patience * _ASK_SHARE,
+            patience=timeout_seconds * _PEER_TIMEOUT_SHARE,
         )
 
-    def _member(self) -> MemberRecord:
+    def _make_member_record(self) -> MemberRecord:
         return make_member(
             self._settings,
             self._settings.entry.links,
@@ -178,7 +189,7 @@
             service=ENTRY_SERVICE,
         )
 
-    def _welcome(self) -> wire.Welcome:
+    def _make_welcome(self) -> wire.Welcome:
         return wire.Welcome(
             process=self._settings.name,
             incarnation=self._incarnation,
@@ -186,37 +197,37 @@
             load=wire.Load(running=0, queued=0, limit=0),
         )
 
-    def _handle_peer(self, message: Message, link: Link) -> None:
+    def _handle_peer_message(self, message: Message, link: Link) -> None:
         if isinstance(message, wire.ClaimAsk):
-            self._claims.handle(message, link)
+            self._claim_router.handle(message, link)
 
-    def _make_callers(self) -> CallerApi:
+    def _make_caller_api(self) -> CallerApi:
         settings = self._settings
-        tools = EntryContext(
+        context = EntryContext(
             settings=settings,
             signing_key=self._config.keys.signing_key,
             store=self._store,
             fleet=self._fleet,
             links=self._links,
-            claims=self._claims,
+            claims=self._claim_router,
             policy=make_policy(settings.entry.policy, self._random),
             clock=self._clock,
             random=self._random,
             metrics=self._metrics,
         )
         self._metrics.watch('endpoints', lambda: len(self._fleet.views))
-        callers = CallerApi(
-            dispatcher=Dispatcher(tools),
+        caller_api = CallerApi(
+            dispatcher=Dispatcher(context),
             store=self._store,
             clock=self._clock,
             limits=settings.limits,
             signing_key=self._config.keys.signing_key,
             metrics=self._metrics,
         )
-        self._metrics.watch('active', lambda: callers.active)
-        return callers
+        self._metrics.watch('active', lambda: caller_api.active)
+        return caller_api
 
-    def _make_administration(self) -> AdministrationApi:
+    def _make_administration_api(self) -> AdministrationApi:
         return AdministrationApi(
             name=self._settings.name,
             editor=SettingsEditor(self._key_value, self._clock),
@@ -233,7 +244,7 @@
             app,
             access_log=None,
             handler_cancellation=True,
-            shutdown_timeout=_CUT_SECONDS,
+            shutdown_timeout=_HTTP_SHUTDOWN_SECONDS,
             max_line_size=self._settings.limits.header_bytes,
             max_field_size=self._settings.limits.header_bytes,
         )
@@ -244,53 +255,56 @@
         await site.start()
         return runner
 
-    def _spread(self) -> None:
+    def _handle_settings_change(self) -> None:
         self._links.broadcast()
-        self._server.broadcast()
-        self._relink()
+        self._link_server.broadcast()
+        self._update_links()
 
-    def _relink(self) -> None:
+    def _update_links(self) -> None:
         self._fleet.rebuild()
-        wanted = self._fleet.subset_names | self._claims.writers()
-        self._links.keep(self._fleet.views, wanted)
+        names = self._fleet.subset_names | self._claim_router.writers()
+        self._links.connect_only(self._fleet.views, names)
 
-    async def _relink_now_and_then(self) -> None:
-        # Deaths show by silence, which brings no change of a record.
+    async def _remove_dead_members_periodically(self) -> None:
+        # A member counts as dead only once its link is silent as well, and
+        # silence changes no membership record that a watch could report.
         while True:
-            await asyncio.sleep(_REBUILD_SECONDS)
+            await asyncio.sleep(_DEAD_MEMBER_CHECK_SECONDS)
             if self._fleet.forget_dead():
-                self._relink()
+                self._update_links()
 
     async def _drain(self, *runners: web.AppRunner) -> None:
         timing = self._settings.timing
-        log_event('draining', active=self._callers.active)
-        self._callers.ready = False
-        self._callers.leaving = True
+        log_event('draining', active=self._caller_api.active)
+        self._caller_api.ready = False
+        self._caller_api.leaving = True
         await self._announcer.leave()
-        # The balancer may send more until its next health check; these
-        # requests are served like any other.
+        # The load balancer sends new requests until its next health check
+        # fails; they are served as usual.
         await asyncio.sleep(timing.drain_seconds)
-        self._callers.refusing = True
-        self._administration.refusing = True
+        self._caller_api.refusing = True
+        self._administration_api.refusing = True
         try:
             async with asyncio.timeout(timing.stop_seconds):
-                while self._has_work(runners):
-                    await asyncio.sleep(_STEP_SECONDS)
+                while self._has_pending_work(runners):
+                    await asyncio.sleep(_DRAIN_POLL_SECONDS)
         except TimeoutError:
             log_event('stopped_with_work_left', 'ERROR')
-            self._callers.fail_unanswered()
+            self._caller_api.fail_unanswered()
 
-    def _has_work(self, runners: tuple[web.AppRunner, ...]) -> bool:
-        if self._callers.active or self._administration.active:
+    def _has_pending_work(self, runners: tuple[web.AppRunner, ...]) -> bool:
+        if self._caller_api.active or self._administration_api.active:
             return True
         return any(has_unsent(runner) for runner in runners)
 
 
 def run(settings: str, check: bool = False) -> None:
-    """Run an entry: callers' HTTP and the administration API.
+    """Run an entry: the callers' HTTP API and the administration API.
 
-    SIGTERM and SIGINT ask for a planned stop: new work is refused, and the
-    process ends when every running answer has been handed on.
+    SIGTERM and SIGINT start a graceful shutdown: new requests are served
+    until the load balancer has had time to react and refused after that. The
+    process exits when every response in progress has been sent, or when the
+    stop timeout expires.
 
     Parameters
     ----------
@@ -298,13 +312,13 @@
         Path of the local settings file (JSON); `primrosewood-ctl schema
         process` prints its schema.
     check
-        Only check the settings file and the key file it names.
+        Only validate the settings file and the key file that it names.
     """
     run_process(_run, 'entry', settings, check)
 
 
 def main() -> None:
-    """Run the binary ``primrosewood-entry``."""
+    """Run the program ``primrosewood-entry``."""
     fire.Fire(run, name='primrosewood-entry')
 
 
--- a/primrosewood/process.py
+++ b/primrosewood/process.py
@@ -1,4 +1,4 @@
-"""What all binaries share: settings, logs, signals, planned stops."""
+"""Common code of all programs: settings, logs, signals, graceful shutdown."""
 
 import asyncio
 import os
@@ -27,52 +27,54 @@
 )
 
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-_INVALID_SETTINGS = 2
+_EXIT_INVALID_SETTINGS = 2
 
-_background: set[asyncio.Task] = set()
+_background_tasks: set[asyncio.Task] = set()
 
-Settings = TypeVar('Settings')
-Main = Callable[[ProcessConfig, asyncio.Event], Awaitable[None]]
+LoadedSettings = TypeVar('LoadedSettings')
+ProcessMain = Callable[[ProcessConfig, asyncio.Event], Awaitable[None]]
 
 
 def spawn(work: Awaitable[None], name: str) -> asyncio.Task:
-    """Run work in the background and log it when it fails."""
+    """Run a coroutine as a background task and log its failure."""
     task = asyncio.ensure_future(work)
     task.set_name(name)
-    _background.add(task)
-    task.add_done_callback(_note_end)
+    _background_tasks.add(task)
+    task.add_done_callback(_handle_task_end)
     return task
 
 
 def log_failure(work: str, error: BaseException) -> None:
-    """Log an error that nothing expected, without its text.
+    """Log an unexpected error by its type and location, without its message.
 
-    The text may hold a caller's data; the place where it arose does not.
+    The message may contain data of a caller.
     """
     log_event(
         'unexpected_error',
         'ERROR',
         work=work,
         error=type(error).__name__,
-        place=_place_of(error),
+        place=_error_location(error),
     )
 
 
-def run_process(main: Main, role: str, settings: str, check: bool) -> None:
-    """Run one of the processes, or only check its settings.
+def run_process(
+    main: ProcessMain, role: str, settings: str, check: bool
+) -> None:
+    """Run an entry or endpoint process, or only check its settings.
 
     Parameters
     ----------
     main
-        Runs until the event is set, then stops gracefully.
+        Runs the process until the event is set, then shuts down gracefully.
     role
-        Section of the settings that the process needs.
+        Section that the settings must have.
     settings
         Path of the local settings file.
     check
-        Whether to stop after the check.
+        Whether to exit after checking the settings.
     """
-    config = _load_or_exit(lambda: _load(settings, role))
+    config = _load_or_exit(lambda: _load_process_config(settings, role))
     if check:
         sys.stdout.write('settings are valid\n')
         return
@@ -81,19 +83,19 @@
     asyncio.run(_run_until_signal(partial(main, config), domain))
 
 
-def _load(path: str, role: str) -> ProcessConfig:
+def _load_process_config(path: str, role: str) -> ProcessConfig:
     config = load_config(path)
     require_section(config.settings, role)
     return config
 
 
-def _load_or_exit(load: Callable[[], Settings]) -> Settings:
+def _load_or_exit(load: Callable[[], LoadedSettings]) -> LoadedSettings:
     try:
         return load()
     except SettingsInvalidError as error:
         for fault in error.faults:
             sys.stderr.write(f'{fault}\n')
-        sys.exit(_INVALID_SETTINGS)
+        sys.exit(_EXIT_INVALID_SETTINGS)
 
 
 def run_node(
@@ -104,11 +106,12 @@
     Parameters
     ----------
     path
-        The settings file; it is read again when SIGHUP comes or it changes.
+        Path of the settings file, which is reloaded on SIGHUP and when the
+        file changes.
     role
-        Section that the program needs.
+        Section that the settings must have.
     make
-        Returns the program.
+        Creates the node from the settings.
     """
     load = partial(load_node, path, role)
     settings = _load_or_exit(load)
@@ -116,15 +119,15 @@
     node = make(settings)
     reloader = SettingsReloader(path, load, node, settings)
     asyncio.run(_run_node(node, reloader, settings))
-    _end_at_once()
+    _exit_immediately()
 
 
-def _end_at_once() -> None:
-    """End without taking the interpreter apart.
+def _exit_immediately() -> None:
+    """Exit without finalising the interpreter.
 
-    That takes 0.25 s where a processor is short, and the platform kills what
-    is there when the time for a stop is over.  Nothing is left to write: log
-    lines are never buffered here for their reader.
+    Finalisation takes 0.25 s where CPU time is scarce, and the platform kills
+    processes that exceed the time limit for a stop. Nothing is left to flush:
+    log lines are never buffered in the process for a slow reader.
     """
     os._exit(0)
 
@@ -134,13 +137,13 @@
 ) -> None:
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
-    looking = spawn(reloader.run(), 'settings')
+    reload_task = spawn(reloader.run(), 'settings')
     try:
         await _run_until_signal(
             node.run, settings.failure_domain, digest_settings(settings)
         )
     finally:
-        looking.cancel()
+        reload_task.cancel()
 
 
 async def _run_until_signal(
@@ -150,24 +153,24 @@
 ) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in _STOP_SIGNALS:
-        loop.add_signal_handler(number, stop.set)
+    for stop_signal in _STOP_SIGNALS:
+        loop.add_signal_handler(stop_signal, stop.set)
     log_event('started', failure_domain=failure_domain, digest=digest or None)
     await run(stop)
     log_event('stopped')
 
 
-def _note_end(task: asyncio.Task) -> None:
-    _background.discard(task)
+def _handle_task_end(task: asyncio.Task) -> None:
+    _background_tasks.discard(task)
     if not task.cancelled() and task.exception() is not None:
         log_failure(task.get_name(), task.exception())
 
 
-def _place_of(error: BaseException) -> str:
-    trace = error.__traceback__
-    while trace is not None and trace.tb_next is not None:
-        trace = trace.tb_next
-    if trace is None:
+def _error_location(error: BaseException) -> str:
+    traceback = error.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    if traceback is None:
         return ''
-    name = trace.tb_frame.f_code.co_filename.rpartition('/')[2]
-    return f'{name}:{trace.tb_lineno}'
+    name = traceback.tb_frame.f_code.co_filename.rpartition('/')[2]
+    return f'{name}:{traceback.tb_lineno}'
