--- a/primrosewood/link.py
+++ b/primrosewood/link.py
@@ -1,4 +1,4 @@
-"""A connection between two processes: CBOR frames over a websocket."""
+"""A connection between two processes: CBOR frames over a WebSocket."""
 
 import asyncio
 import hmac
@@ -13,9 +13,9 @@
 from .errors import WireError
 from .logs import log_event
 
-__all__ = ('CONNECT_ERRORS', 'Link', 'Source', 'read_greeting')
+__all__ = ('CONNECT_ERRORS', 'Link', 'MessageSource', 'read_greeting')
 
-# What ends an attempt to connect, or an established connection.
+# Errors that end an attempt to connect or an established connection.
 CONNECT_ERRORS = (
     OSError,
     TimeoutError,
@@ -23,32 +23,33 @@
     websockets.WebSocketException,
 )
 
-_BULKY = (wire.Offer, wire.Reply, wire.SettingsPush)
-_MOST_IN_FRAME = 128
+# Large messages, each of which gets a frame of its own.
+_UNBATCHED_TYPES = (wire.Offer, wire.Reply, wire.SettingsPush)
+_MAX_MESSAGES_PER_FRAME = 128
 
 
-class Source(Protocol):
-    """Something that has messages ready whenever the link can write."""
+class MessageSource(Protocol):
+    """Supplies messages when the link is ready to write."""
 
     def collect(self) -> list[Message]:
-        """Return the messages to be sent now."""
+        """Return and consume the messages that may be sent now."""
 
 
 class Link:
     """One established connection.
 
-    Messages that wait when the socket can take more go out in one frame; the
-    link never waits in order to batch. Streams are not queued as messages but
-    registered as sources and asked when the frame is made, so that a slow
-    link holds indices and not copies of tokens.
+    Messages that are queued when the socket becomes writable share frames;
+    the link never delays a message to fill a frame. Token streams are not
+    queued but registered as sources, which supply their messages when a frame
+    is built, so that a slow link holds stream offsets and no copies of tokens.
     """
 
     def __init__(self, socket: Connection) -> None:
-        """Take over a connection after its handshake."""
+        """Wrap a connection after its handshake."""
         self._socket = socket
         self._outbox: list[Message] = []
-        self._ready: dict[Source, None] = {}
-        self._wake = asyncio.Event()
+        self._ready_sources: dict[MessageSource, None] = {}
+        self._output_pending = asyncio.Event()
         self._closed = False
 
     @property
@@ -57,22 +58,22 @@
         return self._closed
 
     def send(self, message: Message) -> None:
-        """Queue a message."""
+        """Queue a message for sending."""
         self._outbox.append(message)
-        self._wake.set()
+        self._output_pending.set()
 
-    def notify(self, source: Source) -> None:
-        """Note that a source has messages."""
-        self._ready[source] = None
-        self._wake.set()
+    def notify(self, source: MessageSource) -> None:
+        """Schedule a source that has messages to send."""
+        self._ready_sources[source] = None
+        self._output_pending.set()
 
     async def run(self, handle: Callable[[Message], None]) -> None:
-        """Read and write until the connection ends.
+        """Receive and send messages until the connection ends.
 
         Parameters
         ----------
         handle
-            Called with each message in order; must not block.
+            Called with each received message, in order; must not block.
         """
         writer = asyncio.create_task(self._write())
         try:
@@ -83,19 +84,19 @@
             await self._socket.close()
 
     async def close(self) -> None:
-        """Write what waits, then end the connection."""
+        """Send all pending messages, then close the connection."""
         await self._flush()
         await self._socket.close()
 
     async def abort(self) -> None:
-        """End the connection without waiting for the peer."""
+        """Drop the connection without a closing handshake."""
         self._closed = True
         self._socket.transport.abort()
 
     async def _read(self, handle: Callable[[Message], None]) -> None:
         try:
             async for frame in self._socket:
-                for message in parse_frame(_require_bytes(frame)):
+                for message in parse_frame(_require_binary(frame)):
                     handle(message)
         except websockets.ConnectionClosed:
             return
@@ -105,65 +106,65 @@
     async def _write(self) -> None:
         try:
             while True:
-                await self._wake.wait()
+                await self._output_pending.wait()
                 await self._flush()
         except websockets.ConnectionClosed:
             return
 
     async def _flush(self) -> None:
-        self._wake.clear()
+        self._output_pending.clear()
         messages, self._outbox = self._outbox, []
-        sources, self._ready = self._ready, {}
+        sources, self._ready_sources = self._ready_sources, {}
         for source in sources:
             messages.extend(source.collect())
-        for group in _group(messages):
-            await self._socket.send(serialise_frame(group))
+        for frame_messages in _group_by_frame(messages):
+            await self._socket.send(serialise_frame(frame_messages))
 
 
 async def read_greeting(
-    socket: Connection, key: str, seconds: float
+    socket: Connection, key: str, timeout_seconds: float
 ) -> wire.Hello:
-    """Return the greeting of a peer that has the right key.
+    """Receive the Hello message of a peer and check its key.
 
     Parameters
     ----------
     key
-        Shared by all processes of a deployment.
-    seconds
-        How long the peer may take.
+        Process key, shared by all processes of a deployment.
+    timeout_seconds
+        Time limit for the message to arrive.
 
     Raises
     ------
     WireError
-        It says something else first, or has another key.
+        The first message is not a Hello, or its key is wrong.
     TimeoutError
-        It says nothing.
+        No message arrived in time.
     """
-    async with asyncio.timeout(seconds):
+    async with asyncio.timeout(timeout_seconds):
         frame = await socket.recv()
-    messages = parse_frame(_require_bytes(frame))
+    messages = parse_frame(_require_binary(frame))
     if len(messages) != 1 or not isinstance(messages[0], wire.Hello):
-        raise WireError('no greeting')
+        raise WireError('the first message is not a Hello')
     hello = messages[0]
     if not hmac.compare_digest(hello.key.encode(), key.encode()):
-        raise WireError('another deployment')
+        raise WireError('the peer has another process key')
     return hello
 
 
-def _group(messages: list[Message]) -> list[list[Message]]:
+def _group_by_frame(messages: list[Message]) -> list[list[Message]]:
     groups: list[list[Message]] = []
-    room = 0
+    free_slots = 0
     for message in messages:
-        bulky = isinstance(message, _BULKY)
-        if bulky or room == 0:
+        unbatched = isinstance(message, _UNBATCHED_TYPES)
+        if unbatched or free_slots == 0:
             groups.append([])
-            room = _MOST_IN_FRAME
+            free_slots = _MAX_MESSAGES_PER_FRAME
         groups[-1].append(message)
-        room = 0 if bulky else room - 1
+        free_slots = 0 if unbatched else free_slots - 1
     return groups
 
 
-def _require_bytes(frame: str | bytes) -> bytes:
+def _require_binary(frame: str | bytes) -> bytes:
     if isinstance(frame, str):
         raise WireError('a text frame')
     return frame
--- a/primrosewood/linkpool.py
+++ b/primrosewood/linkpool.py
@@ -1,4 +1,4 @@
-"""An entry's connections to endpoints, and who waits for what on them."""
+"""Connections of an entry to other processes, and inboxes for attempts."""
 
 import asyncio
 import ssl
@@ -24,47 +24,47 @@
 __all__ = ('DeadlinePassed', 'Inbox', 'LinkClient', 'LinkLost', 'LinkPool')
 
 _HANDSHAKE_SECONDS = 2.0
-_FIRST_PAUSE = 0.05
-_PAUSE_GROWTH = 2
-_CHECKS_PER_SILENCE = 5
-_ENTRY_PATIENCE = 5
+_INITIAL_BACKOFF_SECONDS = 0.05
+_BACKOFF_FACTOR = 2
+_CHECKS_PER_SILENCE_LIMIT = 5
+_ENTRY_SILENCE_FACTOR = 5
 
 
 @dataclass(frozen=True, slots=True)
 class LinkLost:
-    """The connection ended, or its peer fell silent."""
+    """The connection ended, or its peer sent nothing for too long."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlinePassed:
-    """The request's deadline came."""
+    """The deadline of the request passed."""
 
 
 class Inbox:
-    """What came for one attempt, in order."""
+    """Received messages and events of one attempt, in order."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty inbox."""
         self._received: deque[Message | LinkLost | DeadlinePassed] = deque()
-        self._waiter: asyncio.Future | None = None
+        self._receiver: asyncio.Future | None = None
 
     def push(self, received: Message | LinkLost | DeadlinePassed) -> None:
-        """Add what came."""
+        """Add a received message or event."""
         self._received.append(received)
-        if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_result(None)
+        if self._receiver is not None and not self._receiver.done():
+            self._receiver.set_result(None)
 
     async def receive(self) -> Message | LinkLost | DeadlinePassed:
-        """Return the next, waiting for it if need be."""
+        """Wait for the next message or event and return it."""
         while not self._received:
-            self._waiter = asyncio.get_running_loop().create_future()
-            await self._waiter
+            self._receiver = asyncio.get_running_loop().create_future()
+            await self._receiver
         return self._received.popleft()
 
 
 @dataclass(frozen=True, slots=True)
-class _Identity:
-    """What a client needs to greet with."""
+class _ClientIdentity:
+    """Identity and credentials that a client presents in the handshake."""
 
     settings: ProcessSettings
     incarnation: str
@@ -73,17 +73,17 @@
 
 
 class LinkClient:
-    """One endpoint's connection, made again whenever it ends."""
+    """Connection to one process, re-established whenever it ends."""
 
     def __init__(
         self,
         view: EndpointView,
-        identity: _Identity,
+        identity: _ClientIdentity,
         store: SettingsStore,
         clock: Clock,
         random: RandomSource,
     ) -> None:
-        """Start unconnected."""
+        """Start a background task that connects."""
         self.view = view
         self._identity = identity
         self._store = store
@@ -91,69 +91,70 @@
         self._random = random
         self._link: Link | None = None
         self._inboxes: dict[str, Inbox] = {}
-        self._linked = asyncio.Event()
-        self._waiting = 0
-        self._task = spawn(self._run(), f'link to {view.name}')
+        self._connected = asyncio.Event()
+        self._connection_waiters = 0
+        self._task = spawn(self._run_with_reconnect(), f'link to {view.name}')
 
     @property
     def busy(self) -> bool:
-        """Whether an attempt waits for something here."""
-        return bool(self._inboxes) or self._waiting > 0
+        """Whether an attempt uses or waits for this connection."""
+        return bool(self._inboxes) or self._connection_waiters > 0
 
     def open_inbox(self, attempt: str, inbox: Inbox) -> None:
-        """Route what comes for an attempt to an inbox."""
+        """Deliver messages for an attempt to an inbox from now on."""
         self._inboxes[attempt] = inbox
         self.view.outstanding += 1
 
     def close_inbox(self, attempt: str) -> None:
-        """Drop what still comes for an attempt."""
+        """Discard further messages for an attempt."""
         if self._inboxes.pop(attempt, None) is not None:
             self.view.outstanding -= 1
 
     def send(self, message: Message) -> bool:
-        """Send a message; False when there is no connection."""
+        """Queue a message for sending; False when there is no connection."""
         if self._link is None or self._link.closed:
             return False
         self._link.send(message)
         return True
 
     async def wait_linked(self, seconds: float) -> bool:
-        """Wait for a connection; False when none came in time."""
-        self._waiting += 1
+        """Wait for a connection; False when there is none in time."""
+        self._connection_waiters += 1
         try:
             async with asyncio.timeout(seconds):
-                await self._linked.wait()
+                await self._connected.wait()
         except TimeoutError:
             return False
         finally:
-            self._waiting -= 1
+            self._connection_waiters -= 1
         return True
 
     def check_silence(self) -> None:
-        """Give up a connection whose peer has said nothing for too long.
+        """Abort the connection if its peer has sent nothing for too long.
 
-        The peer may be stopped, or its machine gone without closing the
-        connection; whoever waits there must learn of it.
+        The peer may be suspended, or its machine may have failed without
+        closing the connection; attempts that wait on it must be notified.
         """
         if self._link is None:
             return
-        silence = self._identity.settings.timing.silence_seconds
+        silence_limit = self._identity.settings.timing.silence_seconds
         if self.view.member.service == ENTRY_SERVICE:
-            # Entries speak less often; nothing but claims goes to them.
-            silence *= _ENTRY_PATIENCE
-        if self._clock.monotonic() - self.view.heard_at > silence:
+            # Entries send heartbeats less often, and only claims depend on
+            # the connection to them.
+            silence_limit *= _ENTRY_SILENCE_FACTOR
+        if self._clock.monotonic() - self.view.heard_at > silence_limit:
             log_event('link_silent', 'WARNING', peer=self.view.name)
             link, self._link = self._link, None
-            self._lose()
+            self._handle_disconnect()
             spawn(link.abort(), 'abort link')
 
     def stop(self) -> None:
-        """End the connection."""
+        """Close the connection for good."""
         self._task.cancel()
-        self._lose()
+        self._handle_disconnect()
 
-    async def _run(self) -> None:
-        pause = _FIRST_PAUSE
+    async def _run_with_reconnect(self) -> None:
+        delay = _INITIAL_BACKOFF_SECONDS
         while True:
             try:
                 await self._connect_once()
@@ -165,10 +166,10 @@
                     why=type(error).__name__,
                 )
             else:
-                pause = _FIRST_PAUSE
-            await asyncio.sleep(pause * (1 + self._random.random()))
-            most = self._identity.settings.timing.reconnect_seconds
-            pause = min(most, pause * _PAUSE_GROWTH)
+                delay = _INITIAL_BACKOFF_SECONDS
+            await asyncio.sleep(delay * (1 + self._random.random()))
+            max_delay = self._identity.settings.timing.reconnect_seconds
+            delay = min(max_delay, delay * _BACKOFF_FACTOR)
 
     async def _connect_once(self) -> None:
         url = self.view.member.url
@@ -182,17 +183,19 @@
             max_size=self._identity.settings.limits.frame_bytes,
             proxy=None,
         ) as socket:
-            await self._greet(socket)
+            await self._handshake(socket)
             link = Link(socket)
             self._link = link
-            self._linked.set()
+            self._connected.set()
             link.send(heartbeat(self._store))
             try:
-                await link.run(lambda message: self._handle(message, link))
+                await link.run(
+                    lambda message: self._handle_message(message, link)
+                )
             finally:
-                self._forget(link)
+                self._discard_link(link)
 
-    async def _greet(self, socket: ClientConnection) -> None:
+    async def _handshake(self, socket: ClientConnection) -> None:
         identity = self._identity
         hello = wire.Hello(
             process=identity.settings.name,
@@ -203,19 +206,20 @@
         async with asyncio.timeout(_HANDSHAKE_SECONDS):
             frame = await socket.recv()
         welcome = _require_welcome(frame)
-        # A reused address may have another endpoint behind it by now.
+        # The address may have been reassigned to another endpoint.
         if welcome.process != self.view.name:
-            raise WireError('another endpoint answers here')
+            raise WireError('another process answered at the address')
         self.view.incarnation = welcome.incarnation
         self.view.take_load(welcome.load)
         self.view.heard_at = self._clock.monotonic()
         self.view.linked = True
         log_event('link_opened', peer=self.view.name)
 
-    def _handle(self, message: Message, link: Link) -> None:
+    def _handle_message(self, message: Message, link: Link) -> None:
         if link is not self._link:
-            # A connection that was given up as silent and woke again: those
-            # who waited on it have been told, so its answers are too late.
+            # This connection was aborted as silent and has delivered a message
+            # after all. Its inboxes have received LinkLost already, so the
+            # message is too late.
             return
         self.view.heard_at = self._clock.monotonic()
         if isinstance(message, wire.Heartbeat):
@@ -226,19 +230,19 @@
         if handle_settings_message(message, link, self._store):
             return
         inbox = self._inboxes.get(message.attempt)
-        # An answer to an attempt that has ended, late or crossed: dropped.
+        # Without an inbox the attempt has ended, and the message is dropped.
         if inbox is not None:
             inbox.push(message)
 
-    def _forget(self, link: Link) -> None:
+    def _discard_link(self, link: Link) -> None:
         if self._link is link:
             self._link = None
-            self._lose()
+            self._handle_disconnect()
             log_event('link_closed', peer=self.view.name)
 
-    def _lose(self) -> None:
+    def _handle_disconnect(self) -> None:
         self.view.linked = False
-        self._linked.clear()
+        self._connected.clear()
         inboxes, self._inboxes = self._inboxes, {}
         self.view.outstanding = 0
         for inbox in inboxes.values():
@@ -246,7 +250,7 @@
 
 
 class LinkPool:
-    """All connections of an entry."""
+    """All connections of an entry to other processes."""
 
     def __init__(
         self,
@@ -258,21 +262,23 @@
         clock: Clock,
         random: RandomSource,
     ) -> None:
-        """Start without connections."""
+        """Create a pool without connections."""
         self._settings = settings
         self._store = store
-        self._identity = _Identity(settings, incarnation, process_key, tls)
+        self._identity = _ClientIdentity(
+            settings, incarnation, process_key, tls
+        )
         self._clock = clock
         self._random = random
         self._clients: dict[str, LinkClient] = {}
 
     @property
     def clients(self) -> list[LinkClient]:
-        """All connections."""
+        """All clients, connected or not."""
         return list(self._clients.values())
 
     def open(self, view: EndpointView) -> LinkClient:
-        """Return the connection to an endpoint, starting it if need be."""
+        """Return the client of a process, creating it if necessary."""
         client = self._clients.get(view.name)
         if client is None:
             client = LinkClient(
@@ -281,12 +287,14 @@
             self._clients[view.name] = client
         return client
 
-    def keep(self, views: dict[str, EndpointView], wanted: set[str]) -> None:
-        """Connect to the wanted and end idle connections to others."""
-        for name in wanted:
+    def connect_only(
+        self, views: dict[str, EndpointView], names: set[str]
+    ) -> None:
+        """Connect to the named processes and close other idle connections."""
+        for name in names:
             self.open(views[name])
         for name, client in list(self._clients.items()):
-            if name not in wanted and not client.busy:
+            if name not in names and not client.busy:
                 client.stop()
                 self._clients.pop(name)
 
@@ -296,21 +304,23 @@
             client.send(heartbeat(self._store))
 
     async def run_heartbeats(self) -> None:
-        """Send heartbeats and watch for silence until cancelled."""
+        """Send heartbeats and abort silent connections until cancelled."""
         timing = self._settings.timing
-        next_beat = 0.0
-        pause = timing.silence_seconds / _CHECKS_PER_SILENCE
+        seconds_to_heartbeat = 0.0
+        check_interval_seconds = (
+            timing.silence_seconds / _CHECKS_PER_SILENCE_LIMIT
+        )
         while True:
-            await asyncio.sleep(pause)
-            next_beat -= pause
-            if next_beat <= 0:
+            await asyncio.sleep(check_interval_seconds)
+            seconds_to_heartbeat -= check_interval_seconds
+            if seconds_to_heartbeat <= 0:
                 self.broadcast()
-                next_beat = timing.quiet_heartbeat_seconds
+                seconds_to_heartbeat = timing.quiet_heartbeat_seconds
             for client in self.clients:
                 client.check_silence()
 
     def stop(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         for client in self._clients.values():
             client.stop()
 
@@ -329,4 +339,4 @@
     messages = parse_frame(frame)
     if len(messages) == 1 and isinstance(messages[0], wire.Welcome):
         return messages[0]
-    raise WireError('no welcome')
+    raise WireError('the first message is not a Welcome')
--- a/primrosewood/linkserver.py
+++ b/primrosewood/linkserver.py
@@ -1,4 +1,4 @@
-"""The listening side of links, the same at endpoints and entries."""
+"""Server side of links, used by endpoints and entries."""
 
 import asyncio
 import ssl
@@ -19,44 +19,45 @@
 __all__ = ('LinkServer', 'ServerSide')
 
 _HANDSHAKE_SECONDS = 2.0
-_UNAUTHENTICATED = 1008
-_COARSE_STEPS = 8
+# WebSocket close code.
+_CLOSE_POLICY_VIOLATION = 1008
+_LOAD_STEPS_PER_LIMIT = 8
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSide:
-    """What the owner of a link server provides.
+    """Callbacks through which a link server uses its owner.
 
     Attributes
     ----------
-    welcome
-        Makes the greeting.
-    load
-        Reads the load to be told; None where there is none to tell.
-    handle
-        Acts on a message that is not about settings.
-    dropped
-        Told of each connection that ended.
+    make_welcome
+        Returns the Welcome message for the handshake.
+    current_load
+        Returns the current load; None if the process reports none.
+    handle_message
+        Handles a message that is not about settings.
+    on_link_closed
+        Called with each link that has ended.
     """
 
-    welcome: Callable[[], wire.Welcome]
-    load: Callable[[], wire.Load | None]
-    handle: Callable[[Message, Link], None]
-    dropped: Callable[[Link], None]
+    make_welcome: Callable[[], wire.Welcome]
+    current_load: Callable[[], wire.Load | None]
+    handle_message: Callable[[Message, Link], None]
+    on_link_closed: Callable[[Link], None]
 
 
 class LinkServer:
-    """Accepts links of peers that know the process key."""
+    """Accepts links from peers that present the process key."""
 
     def __init__(
-        self, store: SettingsStore, process_key: str, side: ServerSide
+        self, store: SettingsStore, process_key: str, callbacks: ServerSide
     ) -> None:
-        """Start without links."""
+        """Create a server without links."""
         self._store = store
         self._process_key = process_key
-        self._side = side
+        self._callbacks = callbacks
         self._links: set[Link] = set()
-        self._last_load: wire.Load | None = None
+        self._last_sent_load: wire.Load | None = None
 
     @property
     def count(self) -> int:
@@ -66,7 +67,7 @@
     def listen(
         self, listen: Listen, limits: Limits, tls: ssl.SSLContext | None
     ) -> AbstractAsyncContextManager[Server]:
-        """Return the server; entering it opens the port."""
+        """Return the server as a context manager, which opens the port."""
         return serve(
             self._serve,
             listen.host,
@@ -78,65 +79,69 @@
         )
 
     def broadcast(self) -> None:
-        """Send a heartbeat with the load on every link."""
+        """Send a heartbeat with the current load on every link."""
         for link in self._links:
-            link.send(heartbeat(self._store, self._side.load()))
+            link.send(heartbeat(self._store, self._callbacks.current_load()))
 
-    async def run_heartbeats(self, seconds: float) -> None:
-        """Send heartbeats until cancelled, with the load when it changed."""
+    async def run_heartbeats(self, interval_seconds: float) -> None:
+        """Send heartbeats until cancelled, with the load if it has changed."""
         while True:
-            await asyncio.sleep(seconds)
-            load = self._side.load()
-            shown = load if _differs(load, self._last_load) else None
-            self._last_load = shown or self._last_load
+            await asyncio.sleep(interval_seconds)
+            load = self._callbacks.current_load()
+            update = load if _load_changed(load, self._last_sent_load) else None
+            self._last_sent_load = update or self._last_sent_load
             for link in self._links:
-                link.send(heartbeat(self._store, shown))
+                link.send(heartbeat(self._store, update))
 
     async def close_links(self) -> None:
-        """End every link after what waits on it was written."""
+        """Close every link after sending its pending messages."""
         for link in list(self._links):
             await link.close()
 
     async def _serve(self, socket: ServerConnection) -> None:
         try:
-            hello = await self._greet(socket)
+            hello = await self._handshake(socket)
         except CONNECT_ERRORS as error:
             log_event('link_refused', 'WARNING', why=type(error).__name__)
-            await socket.close(_UNAUTHENTICATED)
+            await socket.close(_CLOSE_POLICY_VIOLATION)
             return
         await self._run_link(socket, hello.process)
 
-    async def _greet(self, socket: ServerConnection) -> wire.Hello:
+    async def _handshake(self, socket: ServerConnection) -> wire.Hello:
         hello = await read_greeting(
             socket, self._process_key, _HANDSHAKE_SECONDS
         )
-        await socket.send(serialise_frame([self._side.welcome()]))
+        await socket.send(serialise_frame([self._callbacks.make_welcome()]))
         return hello
 
     async def _run_link(self, socket: ServerConnection, peer: str) -> None:
         link = Link(socket)
         self._links.add(link)
         log_event('link_opened', peer=peer)
-        link.send(heartbeat(self._store, self._side.load()))
+        link.send(heartbeat(self._store, self._callbacks.current_load()))
         try:
             await link.run(lambda message: self._handle(message, link))
         finally:
             self._links.discard(link)
-            self._side.dropped(link)
+            self._callbacks.on_link_closed(link)
             log_event('link_closed', peer=peer)
 
     def _handle(self, message: Message, link: Link) -> None:
         if not handle_settings_message(message, link, self._store):
-            self._side.handle(message, link)
+            self._callbacks.handle_message(message, link)
 
 
-def _differs(load: wire.Load | None, told: wire.Load | None) -> bool:
-    """Tell whether a load is worth telling beside those on data frames."""
-    if load is None or told is None:
-        return load is not told
-    if (load.leaving, load.refusing) != (told.leaving, told.refusing):
+def _load_changed(load: wire.Load | None, last_sent: wire.Load | None) -> bool:
+    """Tell whether a heartbeat needs to carry the load.
+
+    Messages of running work carry the load as well, so a heartbeat reports
+    only a changed state or a change of at least one step.
+    """
+    if load is None or last_sent is None:
+        return load is not last_sent
+    if (load.leaving, load.refusing) != (last_sent.leaving, last_sent.refusing):
         return True
-    step = max(1, load.limit // _COARSE_STEPS)
-    now = load.running + load.queued - load.limit
-    then = told.running + told.queued - told.limit
-    return abs(now - then) >= step
+    step = max(1, load.limit // _LOAD_STEPS_PER_LIMIT)
+    excess = load.running + load.queued - load.limit
+    last_sent_excess = last_sent.running + last_sent.queued - last_sent.limit
+    return abs(excess - last_sent_excess) >= step
