--- a/primrosewood/httpclient.py
+++ b/primrosewood/httpclient.py
@@ -1,4 +1,4 @@
-"""What all HTTP clients of the system share."""
+"""Middleware shared by all HTTP clients of the system."""
 
 import aiohttp
 
@@ -10,12 +10,13 @@
 async def never_repeat(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Make the break of a connection an error that the library passes on.
+    """Prevent the HTTP library from resending a call by itself.
 
-    The HTTP library sends a call again by itself when its connection broke
-    and the method is idempotent by its name.  A service may say that its GET
-    must not be repeated, repeats would pass the retry budget by, and calls to
-    the key-value service are paid for one by one.
+    When a connection breaks, the library resends calls whose method is
+    idempotent by definition. That is unwanted here: a service may declare that
+    its GET must not be repeated, the resent calls would bypass the retry
+    budget, and each call to the key-value service is charged. The break is
+    therefore raised as an error that the library does not handle.
 
     Raises
     ------
--- a/primrosewood/httperrors.py
+++ b/primrosewood/httperrors.py
@@ -1,4 +1,4 @@
-"""Errors as HTTP answers of the product's own interface."""
+"""Conversion between errors and HTTP responses of the project's own API."""
 
 import math
 from http import HTTPStatus
@@ -12,12 +12,12 @@
 
 
 def error_response(error: RequestFailedError) -> web.Response:
-    """Return the answer for an error, with when to come back."""
+    """Return the HTTP response for an error, with retry headers if any."""
     headers = {}
     if error.answer.retry:
-        seconds = error.retry_seconds or 1
-        headers['Retry-After'] = str(max(1, math.ceil(seconds)))
-        headers['Retry-After-Ms'] = str(int(seconds * 1000))
+        retry_seconds = error.retry_seconds or 1
+        headers['Retry-After'] = str(max(1, math.ceil(retry_seconds)))
+        headers['Retry-After-Ms'] = str(int(retry_seconds * 1000))
     return web.Response(
         status=error.answer.status,
         body=error_body(error),
@@ -27,7 +27,7 @@
 
 
 def error_body(error: RequestFailedError) -> bytes:
-    """Return the JSON that tells an error."""
+    """Return the JSON body that describes an error."""
     fields = {
         'message': error.message,
         'type': error.kind.value,
@@ -40,10 +40,12 @@
 
 
 def translate_error(error: web.HTTPException) -> RequestFailedError:
-    """Return the error kind for one that the HTTP library raised."""
-    kinds = {
+    """Convert an exception of the HTTP library to a request error."""
+    kinds_by_status = {
         HTTPStatus.NOT_FOUND: ErrorKind.not_found,
         HTTPStatus.REQUEST_ENTITY_TOO_LARGE: ErrorKind.too_large,
     }
-    kind = kinds.get(HTTPStatus(error.status), ErrorKind.invalid_request)
+    kind = kinds_by_status.get(
+        HTTPStatus(error.status), ErrorKind.invalid_request
+    )
     return RequestFailedError(kind, error.reason)
--- a/primrosewood/httpserver.py
+++ b/primrosewood/httpserver.py
@@ -1,4 +1,4 @@
-"""Small HTTP servers of a process: callers, readiness, metrics."""
+"""HTTP servers of a process: for callers, readiness checks and metrics."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -19,15 +19,16 @@
     'stop_listening',
 )
 
-# For servers without operators' limits: readiness and metrics.
-_HEAD_SECONDS = 10.0
+# For servers whose limits operators do not set: readiness and metrics.
+_HEADER_TIMEOUT_SECONDS = 10.0
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
-# For answers that are being written when a server closes.
-_CUT_SECONDS = 0.1
-# Nothing of the request was read, so that the promise of this status holds.
-_HEAD_TIMEOUT = (
+# Time for responses that are being written when a server closes.
+_SHUTDOWN_SECONDS = 0.1
+# No handler has seen the request, so the client may safely repeat it, as
+# status 408 implies.
+_HEADER_TIMEOUT_RESPONSE = (
     b'HTTP/1.1 408 Request Timeout\r\n'
     b'Content-Length: 0\r\n'
     b'Connection: close\r\n'
@@ -37,28 +38,28 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpLimits:
-    """Bounds of a server.
+    """Limits of a server.
 
     Attributes
     ----------
-    idle_seconds
-        How long a connection may stay idle.  Callers use theirs again for as
-        long as the operators allow; one that is closed earlier crosses a
-        request on its way.
-    head_bytes
-        Longest line of a request's head.
+    idle_timeout_seconds
+        Time after which an idle keep-alive connection is closed. It must be
+        as long as callers may reuse a connection; otherwise closing it can
+        cross with a request that is on its way.
+    max_header_line_bytes
+        Maximum length of the request line and of each header field.
     head_seconds
-        Returns how long a head may take from its first byte to its last;
-        read for each head, as operators may change it.
+        Returns the time limit for receiving a request header, from its first
+        byte to its last. Called for each header, as operators may change it.
     """
 
-    idle_seconds: float = 300
-    head_bytes: int = 65536
-    head_seconds: Callable[[], float] = lambda: _HEAD_SECONDS
+    idle_timeout_seconds: float = 300
+    max_header_line_bytes: int = 65536
+    head_seconds: Callable[[], float] = lambda: _HEADER_TIMEOUT_SECONDS
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of ``host:port``."""
+    """Split ``host:port`` into host and port."""
     host, _colon, port = address.rpartition(':')
     return host, int(port)
 
@@ -66,18 +67,18 @@
 async def listen(
     handler: Handler, address: str, limits: HttpLimits
 ) -> web.ServerRunner:
-    """Serve a handler; it is cancelled when its caller leaves."""
-    server = _Server(
+    """Serve requests; a handler is cancelled when its client disconnects."""
+    server = _HeaderTimeoutServer(
         handler,
         limits.head_seconds,
         handler_cancellation=True,
         access_log=None,
-        keepalive_timeout=limits.idle_seconds,
-        max_line_size=limits.head_bytes,
-        max_field_size=limits.head_bytes,
+        keepalive_timeout=limits.idle_timeout_seconds,
+        max_line_size=limits.max_header_line_bytes,
+        max_field_size=limits.max_header_line_bytes,
         auto_decompress=False,
     )
-    runner = web.ServerRunner(server, shutdown_timeout=_CUT_SECONDS)
+    runner = web.ServerRunner(server, shutdown_timeout=_SHUTDOWN_SECONDS)
     await runner.setup()
     await web.TCPSite(runner, *split_address(address)).start()
     return runner
@@ -86,23 +87,23 @@
 def release_connections(runner: web.ServerRunner) -> None:
     """Close the connections that are idle now.
 
-    A caller that keeps a connection open uses it again however long its
-    process has been leaving; a new one would bring it to a process that stays.
+    A caller reuses an open connection even while this process drains; a new
+    connection would be balanced to a process that stays.
     """
     for connection in runner.server.connections:
-        connection.release()
+        connection.close_if_idle()
 
 
 async def stop_listening(runner: web.ServerRunner) -> None:
-    """Take no more connections; those that are open go on."""
+    """Stop accepting connections; open ones continue."""
     for site in tuple(runner.sites):
         await site.stop()
-    # Connections that were taken a moment ago begin to be read.
+    # Lets connections that were accepted just now start reading.
     await asyncio.sleep(0)
 
 
-class _Server(web.Server):
-    """Gives each connection a handler that times heads."""
+class _HeaderTimeoutServer(web.Server):
+    """Gives each connection a handler with a header timeout."""
 
     def __init__(
         self, handler: Handler, head_seconds: Callable[[], float], **options
@@ -111,20 +112,20 @@
         self._head_seconds = head_seconds
 
     def __call__(self) -> web.RequestHandler:
-        return _TimedHandler(
+        return _HeaderTimeoutHandler(
             self, self._head_seconds, loop=self._loop, **self._kwargs
         )
 
 
-class _TimedHandler(web.RequestHandler):
-    """Ends a connection whose request head does not come whole in time.
+class _HeaderTimeoutHandler(web.RequestHandler):
+    """Closes a connection whose request header is not complete in time.
 
-    The HTTP library waits for ever for the rest of a head.  A stranger that
-    opens connections and sends a few bytes on each would use up the process's
-    descriptors, and callers would find no free one.
+    The HTTP library waits for the rest of a header without a limit. A client
+    that opens many connections and sends a few bytes on each would exhaust
+    the file descriptors of the process and lock out other callers.
     """
 
-    __slots__ = ('_head_seconds', '_timer', '_used')
+    __slots__ = ('_head_seconds', '_timer', '_has_received_data')
 
     def __init__(
         self,
@@ -135,36 +136,43 @@
         super().__init__(server, **options)
         self._head_seconds = head_seconds
         self._timer: asyncio.TimerHandle | None = None
-        self._used = False
+        self._has_received_data = False
 
     def data_received(self, data: bytes) -> None:
-        """Read on, and time what is still a part of a head."""
+        """Parse received data and start the timer if a header is incomplete."""
         super().data_received(data)
-        self._used = True
-        # Bytes came and the handler waits for a request all the same.
-        if not self._waits():
+        self._has_received_data = True
+        # If the handler still awaits a request, the header is incomplete.
+        if not self._awaits_request():
             self._stop_timer()
         elif self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(self._head_seconds(), self._give_up)
+            self._timer = loop.call_later(
+                self._head_seconds(), self._close_on_timeout
+            )
 
-    def release(self) -> None:
+    def close_if_idle(self) -> None:
         """Close the connection if it is idle.
 
-        Not if a request is in it or on its way: the rest of a body would be
-        lost.  One that carried no request yet was opened for one that follows.
+        A connection with a request or response in progress stays open, as the
+        rest of a body would be lost. So does one without any data so far: it
+        was opened for a request that is about to arrive.
         """
-        idle = self._used and self._timer is None and self._waits()
+        idle = (
+            self._has_received_data
+            and self._timer is None
+            and self._awaits_request()
+        )
         if idle and not self.transport.get_write_buffer_size():
             self.force_close()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End the timer with the connection."""
+        """Cancel the timer when the connection ends."""
         self._stop_timer()
         super().connection_lost(exc)
 
-    def _waits(self) -> bool:
-        """Tell whether the handler waits for a request to be whole."""
+    def _awaits_request(self) -> bool:
+        """Tell whether the handler waits for a complete request header."""
         return self._waiter is not None and not self._waiter.done()
 
     def _stop_timer(self) -> None:
@@ -172,19 +180,23 @@
             self._timer.cancel()
             self._timer = None
 
-    def _give_up(self) -> None:
+    def _close_on_timeout(self) -> None:
         log_event('head_timeout', 'WARNING')
         if self.transport is not None:
-            self.transport.write(_HEAD_TIMEOUT)
+            self.transport.write(_HEADER_TIMEOUT_RESPONSE)
         self.force_close()
 
 
 async def listen_metrics(
     metrics: Metrics, host: str, port: int
 ) -> web.ServerRunner:
-    """Serve the exposition of a process's metrics on any path."""
-    return await listen(partial(_show, metrics), f'{host}:{port}', HttpLimits())
+    """Serve the metrics in the exposition format on any path."""
+    return await listen(
+        partial(_respond_with_metrics, metrics), f'{host}:{port}', HttpLimits()
+    )
 
 
-async def _show(metrics: Metrics, _request: web.BaseRequest) -> web.Response:
+async def _respond_with_metrics(
+    metrics: Metrics, _request: web.BaseRequest
+) -> web.Response:
     return web.Response(body=metrics.expose())
--- a/primrosewood/timers.py
+++ b/primrosewood/timers.py
@@ -1,4 +1,4 @@
-"""Time limits of what is in progress, which can all be ended at once."""
+"""Timeouts of work in progress that can all be made to expire at once."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -8,39 +8,39 @@
 
 
 class TimerGroup:
-    """Time limits that are running."""
+    """A group of active timeouts that can all expire at once."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self._running: set[asyncio.Timeout] = set()
+        """Create a group without timeouts."""
+        self._active: set[asyncio.Timeout] = set()
         self._ended = False
 
     @property
     def ended(self) -> bool:
-        """Whether all were ended at once."""
+        """Whether ``end`` was called, so that every timeout expires."""
         return self._ended
 
     @asynccontextmanager
     async def limit(self, seconds: float) -> AsyncIterator[None]:
-        """Limit what is done inside; it has no time once all were ended.
+        """Apply a timeout to the block; it is zero once the group has ended.
 
         Raises
         ------
         TimeoutError
-            The time was over, or all were ended.
+            The timeout expired, or the group was ended.
         """
         timer = asyncio.timeout(0 if self._ended else seconds)
-        self._running.add(timer)
+        self._active.add(timer)
         try:
             async with timer:
                 yield
         finally:
-            self._running.discard(timer)
+            self._active.discard(timer)
 
     def end(self) -> None:
-        """Let the time of all that run be over."""
+        """Make all active timeouts expire now, and new ones at once."""
         self._ended = True
         now = asyncio.get_running_loop().time()
-        for timer in self._running:
+        for timer in self._active:
             if not timer.expired():
                 timer.reschedule(now)
