--- a/primrosewood/errors.py
+++ b/primrosewood/errors.py
@@ -1,4 +1,4 @@
-"""Error kinds, the table from kind to answer, and the exception tree."""
+"""Error kinds, the response for each kind, and the exception hierarchy."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,8 +6,8 @@
 from types import MappingProxyType
 
 __all__ = (
-    'ANSWERS',
-    'Answer',
+    'ERROR_RESPONSES',
+    'ErrorResponse',
     'AttemptFailedError',
     'BackendCutError',
     'DoubtError',
@@ -25,7 +25,7 @@
 
 
 class Ran(StrEnum):
-    """Whether a refused or failed request ran at a back end."""
+    """Whether a refused or failed request was executed at a back end."""
 
     no = 'no'
     yes = 'yes'
@@ -33,7 +33,7 @@
 
 
 class ErrorKind(StrEnum):
-    """The closed list of error kinds that callers and operators see."""
+    """All error kinds that callers and operators see."""
 
     invalid_request = 'invalid_request'
     unauthenticated = 'unauthenticated'
@@ -64,160 +64,160 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """How an error kind is answered.
+class ErrorResponse:
+    """HTTP response for an error kind.
 
     Attributes
     ----------
     status
         HTTP status code.
     ran
-        Whether the request ran.
+        Whether the request was executed.
     retry
-        Whether coming back later makes sense.
-    meaning
-        One sentence for the caller.
+        Whether retrying later can succeed.
+    default_message
+        One sentence for the caller, sent unless the error has its own message.
     """
 
     status: HTTPStatus
     ran: Ran
     retry: bool
-    meaning: str
+    default_message: str
 
 
-ANSWERS = MappingProxyType(
+ERROR_RESPONSES = MappingProxyType(
     {
-        ErrorKind.invalid_request: Answer(
+        ErrorKind.invalid_request: ErrorResponse(
             HTTPStatus.BAD_REQUEST, Ran.no, False, 'The request is malformed.'
         ),
-        ErrorKind.unauthenticated: Answer(
+        ErrorKind.unauthenticated: ErrorResponse(
             HTTPStatus.UNAUTHORIZED, Ran.no, False, 'The key is not known.'
         ),
-        ErrorKind.forbidden: Answer(
+        ErrorKind.forbidden: ErrorResponse(
             HTTPStatus.FORBIDDEN, Ran.no, False, 'The key may not do this.'
         ),
-        ErrorKind.not_found: Answer(
+        ErrorKind.not_found: ErrorResponse(
             HTTPStatus.NOT_FOUND, Ran.no, False, 'There is no such service.'
         ),
-        ErrorKind.too_large: Answer(
+        ErrorKind.too_large: ErrorResponse(
             HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
             Ran.no,
             False,
             'The request is larger than the limit.',
         ),
-        ErrorKind.head_too_large: Answer(
+        ErrorKind.head_too_large: ErrorResponse(
             HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
             Ran.no,
             False,
             'The headers are larger than the limit.',
         ),
-        ErrorKind.request_timeout: Answer(
+        ErrorKind.request_timeout: ErrorResponse(
             HTTPStatus.REQUEST_TIMEOUT,
             Ran.no,
             True,
             'The request did not come to its end.',
         ),
-        ErrorKind.conflict: Answer(
+        ErrorKind.conflict: ErrorResponse(
             HTTPStatus.CONFLICT, Ran.no, False, 'Another change came first.'
         ),
-        ErrorKind.key_reused: Answer(
+        ErrorKind.key_reused: ErrorResponse(
             HTTPStatus.UNPROCESSABLE_ENTITY,
             Ran.no,
             False,
             'The idempotency key was used for another request.',
         ),
-        ErrorKind.overloaded: Answer(
+        ErrorKind.overloaded: ErrorResponse(
             HTTPStatus.TOO_MANY_REQUESTS, Ran.no, True, 'No endpoint has room.'
         ),
-        ErrorKind.no_endpoint: Answer(
+        ErrorKind.no_endpoint: ErrorResponse(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             True,
             'No endpoint can take the request.',
         ),
-        ErrorKind.leaving: Answer(
+        ErrorKind.leaving: ErrorResponse(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             True,
             'The process is leaving.',
         ),
-        ErrorKind.domain_out: Answer(
+        ErrorKind.domain_out: ErrorResponse(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             True,
             'The failure domain is out.',
         ),
-        ErrorKind.settings_missing: Answer(
+        ErrorKind.settings_missing: ErrorResponse(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             True,
             'The process has no settings yet.',
         ),
-        ErrorKind.store_unavailable: Answer(
+        ErrorKind.store_unavailable: ErrorResponse(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             True,
             'The key-value service does not answer.',
         ),
-        ErrorKind.claim_unreadable: Answer(
+        ErrorKind.claim_unreadable: ErrorResponse(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.unknown,
             True,
             'Whether the idempotency key was used before cannot be read; '
             'this attempt did not run. Come back with the same key.',
         ),
-        ErrorKind.never_offered: Answer(
+        ErrorKind.never_offered: ErrorResponse(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             True,
             'The attempt never reached its endpoint.',
         ),
-        ErrorKind.deadline_unmeetable: Answer(
+        ErrorKind.deadline_unmeetable: ErrorResponse(
             HTTPStatus.SERVICE_UNAVAILABLE,
             Ran.no,
             True,
             'The request could not start before its deadline.',
         ),
-        ErrorKind.deadline_exceeded: Answer(
+        ErrorKind.deadline_exceeded: ErrorResponse(
             HTTPStatus.GATEWAY_TIMEOUT,
             Ran.unknown,
             False,
             'The deadline passed while the request ran.',
         ),
-        ErrorKind.outcome_unknown: Answer(
+        ErrorKind.outcome_unknown: ErrorResponse(
             HTTPStatus.BAD_GATEWAY,
             Ran.unknown,
             False,
             'The request may have run; its outcome is not known.',
         ),
-        ErrorKind.accept_unknown: Answer(
+        ErrorKind.accept_unknown: ErrorResponse(
             HTTPStatus.BAD_GATEWAY,
             Ran.unknown,
             True,
             'The change may have been accepted; read it back.',
         ),
-        ErrorKind.generation_lost: Answer(
+        ErrorKind.generation_lost: ErrorResponse(
             HTTPStatus.BAD_GATEWAY,
             Ran.yes,
             False,
             'The engine died after part of the answer was sent.',
         ),
-        ErrorKind.answer_expired: Answer(
+        ErrorKind.answer_expired: ErrorResponse(
             HTTPStatus.GONE, Ran.yes, False, 'The answer is no longer kept.'
         ),
-        ErrorKind.backend_refused: Answer(
+        ErrorKind.backend_refused: ErrorResponse(
             HTTPStatus.BAD_GATEWAY,
             Ran.unknown,
             False,
             'The back end answered with an error.',
         ),
-        ErrorKind.cancelled: Answer(
+        ErrorKind.cancelled: ErrorResponse(
             HTTPStatus.BAD_GATEWAY,
             Ran.unknown,
             False,
             'The request was cancelled.',
         ),
-        ErrorKind.internal: Answer(
+        ErrorKind.internal: ErrorResponse(
             HTTPStatus.INTERNAL_SERVER_ERROR,
             Ran.unknown,
             False,
@@ -228,26 +228,26 @@
 
 
 class PrimrosewoodError(Exception):
-    """Base of all errors of this package."""
+    """Base class of all errors of this package."""
 
 
 class WireError(PrimrosewoodError):
-    """A frame from another process could not be read."""
+    """Data from another process is invalid or unexpected."""
 
 
 class BackendCutError(PrimrosewoodError):
-    """The connection to a back end broke after the call was written."""
+    """A connection broke after a call was written, or a response is invalid."""
 
 
 class StoreUnavailableError(PrimrosewoodError):
-    """The key-value service did not answer, or answered with an error.
+    """The key-value service did not respond, or responded with an error.
 
-    A write may have taken effect all the same.
+    A write may have taken effect nevertheless.
     """
 
 
 class HistoryLostError(StoreUnavailableError):
-    """The key-value service has dropped the changes that were asked for."""
+    """The key-value service no longer has the requested past changes."""
 
 
 class SettingsInvalidError(PrimrosewoodError):
@@ -256,61 +256,66 @@
     Parameters
     ----------
     faults
-        One line each, as ``path: fault``.
+        One line per fault, as ``path: fault``.
     """
 
     def __init__(self, faults: list[str]) -> None:
-        """Keep the faults for the answer."""
+        """Store the faults for the response."""
         super().__init__('; '.join(faults))
         self.faults = faults
 
 
 class RequestFailedError(PrimrosewoodError):
-    """A request ends with an error kind.
+    """A request failed with an error kind.
 
     Parameters
     ----------
     kind
-        Row of the table of answers.
+        Error kind, which determines the response.
     message
-        What happened, for the caller; never a prompt or a key.
+        Text for the caller, without prompts or keys; the default message of
+        the kind if empty.
     retry_seconds
-        When to come back; 0 leaves it to the kind's default.
+        Time after which to retry; 0 selects the default.
 
     Attributes
     ----------
     ran
-        Whether the request ran, as the table has it; ``unknown`` in its place
-        when an earlier attempt under the same idempotency key may have run.
+        Whether the request was executed: the value for the kind, or
+        ``unknown`` if an earlier attempt with the same idempotency key may
+        have run.
     """
 
     def __init__(
         self, kind: ErrorKind, message: str = '', retry_seconds: float = 0
     ) -> None:
-        """Keep kind, message and retry time for the answer."""
+        """Store kind, message and retry time for the response."""
         super().__init__(f'{kind}: {message}')
         self.kind = kind
-        self.message = message or ANSWERS[kind].meaning
+        self.message = message or ERROR_RESPONSES[kind].default_message
         self.retry_seconds = retry_seconds
-        self.ran = ANSWERS[kind].ran
+        self.ran = ERROR_RESPONSES[kind].ran
 
     @property
-    def answer(self) -> Answer:
-        """Row of the table for this kind."""
-        return ANSWERS[self.kind]
+    def answer(self) -> ErrorResponse:
+        """Response for this error kind."""
+        return ERROR_RESPONSES[self.kind]
 
 
 class NotRunError(RequestFailedError):
-    """An endpoint refused an attempt before it ran."""
+    """An endpoint refused an attempt without executing it."""
 
 
 class MisdirectedError(NotRunError):
-    """Another back end answers at the address that was called."""
+    """A back end other than the intended one answered at the called address."""
 
 
 class AttemptFailedError(RequestFailedError):
-    """An attempt ran, or may have run, and ended without an answer."""
+    """An attempt was executed, or may have been, but gave no answer."""
 
 
 class DoubtError(PrimrosewoodError):
-    """A connection was lost while an attempt was out on it."""
+    """The connection was lost while an attempt was in flight on it.
+
+    Whether the attempt ran is therefore unknown.
+    """
