--- a/bench/claims_rate.py
+++ b/bench/claims_rate.py
@@ -12,7 +12,7 @@
 from primrosewood.gen_process import ClaimSettings
 from primrosewood.gen_wire import ClaimRecord
 from primrosewood.identity import digest_key, make_identifier
-from primrosewood.kv import MemoryKeyValue, Swap
+from primrosewood.kv import MemoryKeyValue, SwapResult
 
 from .lines import Line
 
@@ -35,7 +35,7 @@
 
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Count and swap."""
         await asyncio.sleep(_LATENCY)
         self.swaps += 1
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -72,12 +72,12 @@
     clock = SystemClock()
     fleet = Fleet('entry-1', _settings(), clock, Timing(silence_seconds=1e9))
     for number in range(size):
-        fleet.take_member(_member(number))
+        fleet.apply_member(_member(number))
     fleet.rebuild()
     for view in fleet.views.values():
         view.linked = True
         view.heard_at = clock.monotonic()
-        view.take_load(Load(running=number % 7, queued=0, limit=16))
+        view.update_load(Load(running=number % 7, queued=0, limit=16))
     policy = PressurePolicy(random.Random(1))
 
     def route(number: int) -> None:
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -13,13 +13,13 @@
 
 from primrosewood.backendset import Backend, BackendRecord, EngineState
 from primrosewood.balancing import (
-    BookedTokens,
-    Booking,
-    LeastPressed,
-    Placing,
+    ReservedTokens,
+    Reservation,
+    LeastCostBalancer,
+    PlacementContext,
 )
-from primrosewood.directcalls import Leg
-from primrosewood.enginereports import EngineReports, read_report
+from primrosewood.directcalls import BackendAttempt
+from primrosewood.enginereports import EngineReports, state_from_report
 from primrosewood.shares import ColdLimit, EntryCount
 
 from .lines import Line
@@ -38,8 +38,8 @@
 _MEMORY = 27_000
 _OBJECTIVE = 1.5
 _NEAR_SECONDS = 0.5
-_SHORT = BookedTokens(2_500, 16)
-_LONG = BookedTokens(3_079, 750)
+_SHORT = ReservedTokens(2_500, 16)
+_LONG = ReservedTokens(3_079, 750)
 _LONG_SHARE = 0.47
 _SLOTS = 64
 # One engine in six leaves at a time; an empty one takes its place.
@@ -134,7 +134,7 @@
         self.told_at = float('-inf')
         self.gathering = False
         self.sent: list[float] = []
-        self.bookings: set[Booking] = set()
+        self.reservations: set[Reservation] = set()
         self._unread: list[tuple[float, int]] = []
         self._ends: list[tuple[float, int]] = []
         self._free_at = 0.0
@@ -152,7 +152,7 @@
         self._free_at = now
         return lost
 
-    def admit(self, tokens: BookedTokens, now: float) -> tuple[float, float]:
+    def admit(self, tokens: ReservedTokens, now: float) -> tuple[float, float]:
         """Return when the first event comes, and the last one."""
         first = max(now, self._free_at) + tokens.prompt / _READING_PACE
         self._free_at = first
@@ -192,7 +192,7 @@
         self._way = way
         self._engines = [_Engine(f'e{number}') for number in range(engines)]
         self._views = [self._make_view() for _ in range(entries)]
-        self._balancer = LeastPressed(self._random)
+        self._balancer = LeastCostBalancer(self._random)
         self._figures = HerdFigures()
         self._met = 0
         self._events: list[tuple] = []
@@ -235,47 +235,55 @@
         engine.sent = [*near, now]
         used = engine.state(now).used_tokens
         self._figures.crowded += used + tokens.total > _MEMORY
-        booking = Booking(Leg(backend), tokens)
+        reservation = Reservation(BackendAttempt(backend), tokens)
         first, last = engine.admit(tokens, now + _ARRIVAL_SECONDS)
         self._figures.first_events.append(first - now)
-        engine.bookings.add(booking)
-        self._at(first, self._begin, engine, booking)
-        self._at(last, self._end, engine, booking)
+        engine.reservations.add(reservation)
+        self._at(first, self._begin, engine, reservation)
+        self._at(last, self._end, engine, reservation)
         if self._way.announced:
             self._figures.messages += 1
             self._at(now + _LINK_SECONDS, self._place, engine, tokens)
 
-    def _begin(self, now: float, engine: _Engine, booking: Booking) -> None:
-        if booking in engine.bookings:
-            booking.note_event(now)
+    def _begin(
+        self, now: float, engine: _Engine, reservation: Reservation
+    ) -> None:
+        if reservation in engine.reservations:
+            reservation.record_event(now)
 
-    def _end(self, _now: float, engine: _Engine, booking: Booking) -> None:
-        if booking in engine.bookings:
-            engine.bookings.remove(booking)
-            booking.release()
+    def _end(
+        self, _now: float, engine: _Engine, reservation: Reservation
+    ) -> None:
+        if reservation in engine.reservations:
+            engine.reservations.remove(reservation)
+            reservation.release()
 
     def _leave(self, now: float) -> None:
         self._at(now + _LEAVE_EVERY_SECONDS, self._leave)
         leaving = len(self._engines) // _LEAVING_SHARE
         for engine in self._random.sample(self._engines, leaving):
             self._figures.lost += engine.leave(now)
-            for booking in engine.bookings:
-                booking.release()
-            engine.bookings.clear()
+            for reservation in engine.reservations:
+                reservation.release()
+            engine.reservations.clear()
 
     def _choose(
-        self, view: list[Backend], tokens: BookedTokens, now: float
+        self, view: list[Backend], tokens: ReservedTokens, now: float
     ) -> Backend:
         if self._way.sees_all:
             for backend, engine in zip(view, self._engines, strict=True):
-                backend.take_state(engine.state(now), now)
+                backend.update_state(engine.state(now), now)
         usable = view
         if self._way.drawn:
             usable = self._random.sample(view, self._way.drawn)
-        placing = Placing('d', now, tokens, _MEMORY, _OBJECTIVE, _READING_PACE)
+        placing = PlacementContext(
+            'd', now, tokens, _MEMORY, _OBJECTIVE, _READING_PACE
+        )
         return self._balancer.choose(usable, placing)
 
-    def _place(self, now: float, engine: _Engine, tokens: BookedTokens) -> None:
+    def _place(
+        self, now: float, engine: _Engine, tokens: ReservedTokens
+    ) -> None:
         engine.reports.announce(tokens.prompt, now)
         if not engine.gathering:
             engine.gathering = True
@@ -301,15 +309,15 @@
             due = engine.reports.is_due(report, now)
         if due:
             engine.told_at = now
-            engine.reports.note_told(report, now)
+            engine.reports.record_sent(report, now)
             self._figures.messages += len(self._views)
             self._at(now + _LINK_SECONDS, self._hear, engine, report)
 
     def _hear(self, now: float, engine: _Engine, report) -> None:
         number = self._engines.index(engine)
-        state = read_report(report)
+        state = state_from_report(report)
         for view in self._views:
-            view[number].take_state(state, now)
+            view[number].update_state(state, now)
 
 
 def play_fleet(way: str, seconds: float, seed: int) -> HerdFigures:
--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -5,7 +5,7 @@
 from primrosewood.admission import Admission
 from primrosewood.clock import Clock
 from primrosewood.lengths import HORIZONS, LengthForecast, LengthPredictor
-from primrosewood.memory import Booking, MemoryTracker
+from primrosewood.memory import Reservation, MemoryTracker
 from primrosewood.warmup import ConcurrencyTargets
 
 _SPARE = 0.01
@@ -24,9 +24,9 @@
 class OracleMemory(MemoryTracker):
     """Admits when the true peak of memory stays under the capacity."""
 
-    def fits(self, booking: Booking) -> bool:
+    def fits(self, reservation: Reservation) -> bool:
         """Tell whether no step until the last end runs out of memory."""
-        streams = [*self._bookings.values(), booking]
+        streams = [*self._reservations.values(), reservation]
         if len(streams) == 1:
             return True
         left = [
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -106,8 +106,8 @@
     mean_held = held / tokens
     speed = 0.0
     for shape in SHAPES:
-        batch = min(shape.most_running, shape.capacity / mean_held)
-        speed += batch / (shape.step + shape.step_each * batch)
+        batch = min(shape.max_batch_size, shape.capacity / mean_held)
+        speed += batch / (shape.step + shape.step_seconds_per_stream * batch)
     return speed / (tokens / len(jobs))
 
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -17,7 +17,12 @@
 from primrosewood.retries import RetryBudget, jitter
 from primrosewood.routing import Policy, Work
 from primrosewood.warmup import ConcurrencyTargets
-from standins.enginemodel import EngineModel, EngineShape, ModelStream, Step
+from standins.enginemodel import (
+    EngineModel,
+    EngineShape,
+    ModelStream,
+    StepResult,
+)
 
 REPORT_SECONDS = 1.0
 TICK_SECONDS = 0.1
@@ -193,7 +198,7 @@
         at = self._world.clock.now + step.seconds
         self._world.schedule(at, lambda: self._end_step(step))
 
-    def _end_step(self, step: Step) -> None:
+    def _end_step(self, step: StepResult) -> None:
         if self.dead:
             return
         for stream in step.emitted:
@@ -251,7 +256,7 @@
             if view is None:
                 view = EndpointView(_member(node))
                 self.views[name] = view
-            view.take_load(node.load())
+            view.update_load(node.load())
         self.usable = [
             view
             for view in self.views.values()
@@ -363,7 +368,7 @@
         for entry in self.entries:
             if entry.name == job.entry:
                 view = entry.views[node.name]
-                view.take_load(node.load())
+                view.update_load(node.load())
                 view.outstanding -= 1
 
     def take_out(self, domain: str) -> None:
@@ -419,13 +424,13 @@
         try:
             node.offer(job)
         except NotRunError as error:
-            view.take_load(node.load())
+            view.update_load(node.load())
             job.refusals += 1
             self._offer_elsewhere(
                 job, entry, {*tried, node.name}, error.retry_seconds
             )
             return
-        view.take_load(node.load())
+        view.update_load(node.load())
         view.outstanding += 1
         job.entry = entry.name
 
@@ -469,7 +474,7 @@
     its step at the batch its memory carries, plus a fifth.
     """
     batch = shape.capacity / 500
-    step = (shape.step + shape.step_each * batch) * 1.2
+    step = (shape.step + shape.step_seconds_per_stream * batch) * 1.2
     return ConcurrencyTargets(
         start=start,
         most=_MOST_RUNNING,
--- a/primrosewood/admission.py
+++ b/primrosewood/admission.py
@@ -10,7 +10,7 @@
 from .fairness import FairQueue, QueuedRequest
 from .gen_wire import Load
 from .lengths import LengthPredictor
-from .memory import Booking, MemoryTracker
+from .memory import Reservation, MemoryTracker
 from .warmup import ConcurrencyLimit, ConcurrencyTargets
 
 __all__ = ('Admission', 'AdmissionRequest')
@@ -246,13 +246,13 @@
     def _fits(self, request: AdmissionRequest) -> bool:
         if self.running >= self.limit.limit:
             return False
-        return self.memory.fits(_make_booking(request))
+        return self.memory.fits(_make_reservation(request))
 
     def _start(self, request: AdmissionRequest) -> None:
         self._running[request.name] = request
         self._started_at[request.name] = self._clock.monotonic()
         self._requests[request.name] = request
-        self.memory.add(request.name, _make_booking(request))
+        self.memory.add(request.name, _make_reservation(request))
         self.queue.charge(
             request.organisation, request.share, request.prompt_tokens
         )
@@ -282,8 +282,8 @@
         )
 
 
-def _make_booking(request: AdmissionRequest) -> Booking:
-    return Booking(
+def _make_reservation(request: AdmissionRequest) -> Reservation:
+    return Reservation(
         group=request.group,
         prompt=request.prompt_tokens,
         max_output_tokens=request.max_output_tokens,
--- a/primrosewood/backendset.py
+++ b/primrosewood/backendset.py
@@ -165,12 +165,12 @@
         """Return seconds since the last report, None without one."""
         return None if self.state is None else now - self.state_at
 
-    def take_state(self, state: EngineState, now: float) -> None:
+    def update_state(self, state: EngineState, now: float) -> None:
         """Note the engine's own report."""
         self.state_at = now
         self._replace_state(state)
 
-    def drop_old_state(self, now: float) -> bool:
+    def drop_stale_state(self, now: float) -> bool:
         """Forget a report that no newer one follows; tell whether it was.
 
         What was opened since is added to a report, so that an old one would
@@ -288,7 +288,7 @@
         self._drop(name)
         return True
 
-    def note_store(self, answered: bool, now: float) -> None:
+    def record_store_result(self, answered: bool, now: float) -> None:
         """Note whether the key-value service answered a call."""
         seen = self._disturbance
         if answered and not seen.answering:
--- a/primrosewood/balancing.py
+++ b/primrosewood/balancing.py
@@ -6,15 +6,15 @@
 
 from .backendset import Backend
 from .clock import RandomSource
-from .directcalls import Leg
+from .directcalls import BackendAttempt
 from .enginepace import PROMPT_TOKENS_A_SECOND, TOKEN_SECONDS
 
 __all__ = (
     'Balancer',
-    'BookedTokens',
-    'Booking',
-    'LeastPressed',
-    'Placing',
+    'ReservedTokens',
+    'Reservation',
+    'LeastCostBalancer',
+    'PlacementContext',
 )
 
 
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BookedTokens:
+class ReservedTokens:
     """Tokens that a generation may come to hold."""
 
     prompt: int
@@ -60,7 +60,7 @@
         return self.prompt + self.answer
 
 
-class Booking:
+class Reservation:
     """A call's part in what its back end is reckoned to hold.
 
     Parameters
@@ -76,14 +76,18 @@
         Whether the back end reads a prompt for the call.
     """
 
-    def __init__(self, leg: Leg, tokens: BookedTokens | None) -> None:
+    def __init__(
+        self, backend_attempt: BackendAttempt, tokens: ReservedTokens | None
+    ) -> None:
         """Count the call."""
-        backend = leg.backend
+        backend = backend_attempt.backend
         self.backend = backend
         self.first_event_at: float | None = None
         self._total = tokens.total if tokens else 0
         # The prompt of a moved generation need not be read again.
-        self.reads_prompt = tokens is not None and leg.resumption is None
+        self.reads_prompt = (
+            tokens is not None and backend_attempt.resumption is None
+        )
         self._unread = tokens.prompt if self.reads_prompt else 0
         backend.open_calls += 1
         backend.unread_tokens += self._unread
@@ -96,7 +100,7 @@
         """Whether any of the answer has come."""
         return self.first_event_at is not None
 
-    def note_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Note an event; with the first one the prompt has been read."""
         if self.first_event_at is None:
             self.first_event_at = now
@@ -114,7 +118,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placing:
+class PlacementContext:
     """What a choice may look at.
 
     Attributes
@@ -135,7 +139,7 @@
 
     failure_domain: str
     now: float
-    tokens: BookedTokens | None = None
+    tokens: ReservedTokens | None = None
     memory_tokens: int = 0
     objective: float = 0
     reading_pace: float = PROMPT_TOKENS_A_SECOND
@@ -145,11 +149,13 @@
 class Balancer(Protocol):
     """A way to choose; ``usable`` is never empty."""
 
-    def choose(self, usable: Sequence[Backend], placing: Placing) -> Backend:
+    def choose(
+        self, usable: Sequence[Backend], placing: PlacementContext
+    ) -> Backend:
         """Return the back end that gets the call."""
 
 
-class LeastPressed:
+class LeastCostBalancer:
     """The back end with the most room for what the call may come to hold.
 
     Spreading by tokens and not by calls keeps few generations on each engine,
@@ -160,7 +166,9 @@
         """Keep the random source that breaks ties."""
         self._random = random
 
-    def choose(self, usable: Sequence[Backend], placing: Placing) -> Backend:
+    def choose(
+        self, usable: Sequence[Backend], placing: PlacementContext
+    ) -> Backend:
         """Return the back end that gets the call."""
         sound = [each for each in usable if each.suspect_until <= placing.now]
         scored = [(_score(each, placing), each) for each in (sound or usable)]
@@ -171,7 +179,7 @@
         return near[int(self._random.random() * len(near))]
 
 
-def _score(backend: Backend, placing: Placing) -> float:
+def _score(backend: Backend, placing: PlacementContext) -> float:
     if placing.tokens is None:
         seconds = _service_seconds(backend)
     else:
@@ -186,7 +194,7 @@
     return _SERVICE_SECONDS * backend.open_calls / slots
 
 
-def _engine_seconds(backend: Backend, placing: Placing) -> float:
+def _engine_seconds(backend: Backend, placing: PlacementContext) -> float:
     tokens = placing.tokens
     state = backend.state
     token_seconds = placing.token_seconds
@@ -215,7 +223,7 @@
     return _LEAVE_RISK * share**2 + over**2
 
 
-def _memory_share(backend: Backend, placing: Placing) -> float:
+def _memory_share(backend: Backend, placing: PlacementContext) -> float:
     """Return the share of memory that would be in use with the call."""
     booked = backend.open_tokens
     total = placing.memory_tokens
--- a/primrosewood/caller.py
+++ b/primrosewood/caller.py
@@ -75,7 +75,7 @@
         started = time.monotonic()
         while answer.attempts < self._settings.most_attempts:
             await self._send_once(task, answer, started)
-            if not self._may_return(task, answer):
+            if not self._may_retry(task, answer):
                 break
             await asyncio.sleep(answer.retry_seconds)
         answer.seconds = time.monotonic() - started
@@ -113,7 +113,7 @@
         """Read a response into the answer."""
 
     @abstractmethod
-    def _may_return(self, task: Task, answer: CallerAnswer) -> bool:
+    def _may_retry(self, task: Task, answer: CallerAnswer) -> bool:
         """Tell whether a task may be sent again."""
 
 
@@ -139,8 +139,8 @@
     ) -> None:
         await _AnswerReader(answer, started).read(response)
 
-    def _may_return(self, task: Task, answer: CallerAnswer) -> bool:
-        return _may_return(task, answer)
+    def _may_retry(self, task: Task, answer: CallerAnswer) -> bool:
+        return _may_retry(task, answer)
 
     def _headers(self, task: Task, answer: CallerAnswer) -> dict[str, str]:
         key = self._settings.key
@@ -211,7 +211,7 @@
         self._last = now
 
 
-def _may_return(task: Task, answer: CallerAnswer) -> bool:
+def _may_retry(task: Task, answer: CallerAnswer) -> bool:
     if answer.complete or not answer.error:
         return False
     if answer.error.startswith('cut_'):
--- a/primrosewood/calllimits.py
+++ b/primrosewood/calllimits.py
@@ -47,7 +47,7 @@
         self._send = send
         self._untold: dict[Backend, int] = {}
 
-    def note_answer(
+    def record_answer(
         self, backend: Backend, rate: float | None, sent_at: float
     ) -> None:
         """Note what a back end's answer says.
@@ -68,13 +68,13 @@
         if self._take(backend, rate, age=0):
             self._tell_soon(backend, calls=0)
 
-    def note_call(self, backend: Backend) -> None:
+    def record_call(self, backend: Backend) -> None:
         """Count a call that is sent to a back end."""
         if backend.call_limit.rate is not None:
             self._count(backend, calls=1)
             self._tell_soon(backend, calls=1)
 
-    def take_told(self, told: wire.LimitTold) -> None:
+    def merge_from_peer(self, told: wire.LimitTold) -> None:
         """Take what another entry heard, and count what it sent."""
         backend = self._backends.find(told.endpoint)
         if backend is not None:
--- a/primrosewood/callplacement.py
+++ b/primrosewood/callplacement.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 
 from .backendset import Backend, BackendSet
-from .balancing import Balancer, BookedTokens, Booking, Placing
+from .balancing import Balancer, ReservedTokens, Reservation, PlacementContext
 from .callprogress import CallProgress
 from .clock import Clock, RandomSource
-from .directcalls import DirectCall, Leg
+from .directcalls import DirectCall, BackendAttempt
 from .enginepace import ReadingPace
 from .errors import (
     BackendCutError,
@@ -28,7 +28,7 @@
 from .routes import EngineTraits, TableHolder
 from .shares import EntryCount, RepeatBudget, RepeatRule
 
-__all__ = ('CallPlacement', 'PlacementTools', 'RelayRules')
+__all__ = ('CallPlacement', 'PlacementDependencies', 'RelayRules')
 
 # Sends of one call, whatever the budget: a call that three back ends refused
 # is better off with an honest refusal and a time to come back.
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlacementTools:
+class PlacementDependencies:
     """What placement works with.
 
     Attributes
@@ -95,14 +95,14 @@
 class CallPlacement:
     """Chooses a back end for each call, and decides on repeats."""
 
-    def __init__(self, tools: PlacementTools) -> None:
+    def __init__(self, tools: PlacementDependencies) -> None:
         """Take the tools."""
         self._tools = tools
         self._rules = tools.rules
         self._budgets: dict[str, RepeatBudget] = {}
         self._reading: dict[str, ReadingPace] = {}
 
-    def take_rules(self, rules: RelayRules) -> None:
+    def update_rules(self, rules: RelayRules) -> None:
         """Follow changed bounds from now on."""
         self._rules = rules
         for budget in self._budgets.values():
@@ -205,37 +205,41 @@
         return RequestFailedError(kind, retry_seconds=retry_seconds + spread)
 
     @contextmanager
-    def book(self, progress: CallProgress, leg: Leg) -> Iterator[Booking]:
+    def book(
+        self, progress: CallProgress, backend_attempt: BackendAttempt
+    ) -> Iterator[Reservation]:
         """Count a call at its back end while it is open there."""
         now = self._now()
         call = progress.call
-        leg.backend.cold_limit.note(now)
-        self._tools.count_call(leg.backend)
+        backend_attempt.backend.cold_limit.note(now)
+        self._tools.count_call(backend_attempt.backend)
         progress.sends += 1
-        if leg.resumption is not None:
+        if backend_attempt.resumption is not None:
             self._budget(call.service).spend(now)
-        ahead = leg.backend.unread_ahead
+        ahead = backend_attempt.backend.unread_ahead
         tokens = self._tokens(call)
-        booking = Booking(leg, tokens)
+        reservation = Reservation(backend_attempt, tokens)
         if tokens is not None:
-            unread = tokens.prompt if booking.reads_prompt else 0
-            self._tools.announce(leg.backend, call.name, unread, tokens.total)
+            unread = tokens.prompt if reservation.reads_prompt else 0
+            self._tools.announce(
+                backend_attempt.backend, call.name, unread, tokens.total
+            )
         try:
-            yield booking
+            yield reservation
         except NotRunError as error:
-            self._note_refusal(leg.backend, error)
+            self._note_refusal(backend_attempt.backend, error)
             raise
         except BackendCutError:
-            leg.backend.record_failure(self._now())
+            backend_attempt.backend.record_failure(self._now())
             raise
         except asyncio.CancelledError:
-            self._note_silence(call, booking, now)
+            self._note_silence(call, reservation, now)
             raise
         else:
-            leg.backend.note_success()
-            self._note_reading(call, booking, ahead, now)
+            backend_attempt.backend.note_success()
+            self._note_reading(call, reservation, ahead, now)
         finally:
-            booking.release()
+            reservation.release()
             self._tools.metrics.record('send', self._now() - now)
 
     def learn(self, progress: CallProgress) -> None:
@@ -259,7 +263,7 @@
             raise self.end(progress, ErrorKind.outcome_unknown)
         return backend
 
-    def guess_length(self, call: DirectCall) -> int:
+    def estimate_answer_tokens(self, call: DirectCall) -> int:
         """Return the tokens that a call's answer is expected to have."""
         size = call.size
         if size is None:
@@ -268,7 +272,11 @@
         if not guess:
             outlook = self._tools.lengths.predict(_group(call), 0)
             guess = int(outlook.remaining)
-        return min(guess, size.most_tokens) if size.most_tokens else guess
+        return (
+            min(guess, size.max_answer_tokens)
+            if size.max_answer_tokens
+            else guess
+        )
 
     def engine_traits(self, service: str) -> EngineTraits | None:
         """Return what a service's engines can do, None for plain ones."""
@@ -287,7 +295,7 @@
             backend.suspect(self._now())
 
     def _note_silence(
-        self, call: DirectCall, booking: Booking, since: float
+        self, call: DirectCall, reservation: Reservation, since: float
     ) -> None:
         """Count a call that was given up as failed if nothing came at all.
 
@@ -296,14 +304,14 @@
         """
         now = self._now()
         patience = _SILENT_OBJECTIVES * call.route.objective
-        if not booking.answered and now >= since + patience:
-            booking.backend.record_failure(now)
+        if not reservation.answered and now >= since + patience:
+            reservation.backend.record_failure(now)
 
     def _candidates(self, progress: CallProgress, now: float) -> list[Backend]:
         return [
             backend
             for backend in self._untried(progress, now)
-            if not backend.call_limit.find_wait(now)
+            if not backend.call_limit.seconds_until_call(now)
         ]
 
     def _untried(self, progress: CallProgress, now: float) -> list[Backend]:
@@ -317,7 +325,7 @@
     def _refuse(self, progress: CallProgress, now: float) -> RequestFailedError:
         """Return the end of a call that no back end may get now."""
         waits = [
-            backend.call_limit.find_wait(now)
+            backend.call_limit.seconds_until_call(now)
             for backend in self._untried(progress, now)
         ]
         if not waits:
@@ -327,13 +335,13 @@
             progress, ErrorKind.overloaded, retry_seconds=min(waits)
         )
 
-    def _placing(self, call: DirectCall, now: float) -> Placing:
+    def _placing(self, call: DirectCall, now: float) -> PlacementContext:
         domain = self._rules.failure_domain
         tokens = self._tokens(call)
         if tokens is None:
-            return Placing(domain, now)
+            return PlacementContext(domain, now)
         traits = self.engine_traits(call.service)
-        return Placing(
+        return PlacementContext(
             failure_domain=domain,
             now=now,
             tokens=tokens,
@@ -347,12 +355,16 @@
         return self._reading.setdefault(service, ReadingPace())
 
     def _note_reading(
-        self, call: DirectCall, booking: Booking, ahead: int, sent: float
+        self,
+        call: DirectCall,
+        reservation: Reservation,
+        ahead: int,
+        sent: float,
     ) -> None:
-        if booking.first_event_at is None or not booking.reads_prompt:
+        if reservation.first_event_at is None or not reservation.reads_prompt:
             return
         tokens = ahead + call.size.prompt_tokens
-        seconds = booking.first_event_at - sent
+        seconds = reservation.first_event_at - sent
         self._reading_pace(call.service).observe(tokens, seconds)
 
     def _bears(self, backend: Backend, now: float) -> bool:
@@ -366,11 +378,13 @@
         rate += self._rules.cold_slack
         return backend.cold_limit.has_room(rate, now)
 
-    def _tokens(self, call: DirectCall) -> BookedTokens | None:
+    def _tokens(self, call: DirectCall) -> ReservedTokens | None:
         size = call.size
         if size is None:
             return None
-        return BookedTokens(size.prompt_tokens, self.guess_length(call))
+        return ReservedTokens(
+            size.prompt_tokens, self.estimate_answer_tokens(call)
+        )
 
     def _budget(self, service: str) -> RepeatBudget:
         budget = self._budgets.get(service)
--- a/primrosewood/callprogress.py
+++ b/primrosewood/callprogress.py
@@ -38,7 +38,7 @@
     longest_pause: float = 0
     _event_at: float = 0
 
-    def note_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Note that events are handed on."""
         if self.first_event is None:
             self.first_event = now - self.call.arrived
--- a/primrosewood/config.py
+++ b/primrosewood/config.py
@@ -18,8 +18,8 @@
     'ProcessConfig',
     'check_document',
     'load_config',
-    'load_node',
-    'make_contexts',
+    'load_node_settings',
+    'make_tls_contexts',
     'require_section',
 )
 
@@ -75,7 +75,7 @@
     return ProcessConfig(settings, msgspec.convert(keys, Keys), file.parent)
 
 
-def load_node(path: str, role: str) -> NodeSettings:
+def load_node_settings(path: str, role: str) -> NodeSettings:
     """Read and check the settings of a process that calls back ends directly.
 
     Parameters
@@ -111,7 +111,7 @@
         raise SettingsInvalidError([f'/{role}: this section is missing'])
 
 
-def make_contexts(
+def make_tls_contexts(
     tls: TlsSettings | None, folder: Path
 ) -> tuple[ssl.SSLContext | None, ssl.SSLContext | None]:
     """Return the TLS contexts for listening and for connecting.
--- a/primrosewood/ctl.py
+++ b/primrosewood/ctl.py
@@ -17,7 +17,7 @@
 from .documents import find_differences
 from .errors import SettingsInvalidError
 from .loglines import LogLine, count_outcomes, parse_lines
-from .logstory import tell_story
+from .requesttrace import tell_story
 from .losses import find_losses
 
 __all__ = ('Ctl', 'main')
--- a/primrosewood/directcalls.py
+++ b/primrosewood/directcalls.py
@@ -15,7 +15,7 @@
     'DirectCall',
     'GenerationSize',
     'Header',
-    'Leg',
+    'BackendAttempt',
     'Resumption',
     'Transport',
 )
@@ -34,7 +34,7 @@
     """
 
     prompt_tokens: int
-    most_tokens: int
+    max_answer_tokens: int
     hint: int = 0
 
 
@@ -117,7 +117,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leg:
+class BackendAttempt:
     """One back end's part in a call.
 
     Attributes
@@ -159,7 +159,7 @@
     """Carries a direct call to one back end, over a connection of its own."""
 
     def send(
-        self, call: DirectCall, leg: Leg
+        self, call: DirectCall, backend_attempt: BackendAttempt
     ) -> AbstractAsyncContextManager[BackendReply]:
         """Send a call; leaving the context ends what is still running.
 
--- a/primrosewood/endpoint.py
+++ b/primrosewood/endpoint.py
@@ -9,7 +9,7 @@
 from .announce import Announcer, make_member
 from .backends import HttpEngine, HttpService
 from .clock import SystemClock
-from .config import ProcessConfig, make_contexts
+from .config import ProcessConfig, make_tls_contexts
 from .errors import BackendCutError
 from .etcd import EtcdKeyValue
 from .gen_stored import MemberRecord
@@ -19,7 +19,7 @@
 from .metrics import Metrics
 from .process import run_process, spawn
 from .settings import SETTINGS_PREFIX, SettingsStore
-from .watcher import Watcher, WatchPace
+from .watcher import Watcher, PollSchedule
 from .worker import EndpointIdentity, Worker
 
 __all__ = ('EndpointProcess', 'main', 'run')
@@ -56,7 +56,7 @@
             self._make_member_record(),
             settings.timing.lease_seconds,
         )
-        self._server_tls = make_contexts(settings.tls, config.folder)[0]
+        self._server_tls = make_tls_contexts(settings.tls, config.folder)[0]
         url = settings.endpoint.backend_url
         self._engine = HttpEngine(url)
         self._service = HttpService(url)
@@ -126,8 +126,8 @@
         watcher = Watcher(
             self._key_value,
             SETTINGS_PREFIX,
-            WatchPace(poll_seconds),
-            self._store.take_pair,
+            PollSchedule(poll_seconds),
+            self._store.apply_pair,
         )
         await watcher.run(watch=False)
 
--- a/primrosewood/enginekeeper.py
+++ b/primrosewood/enginekeeper.py
@@ -12,13 +12,13 @@
 from .clock import Clock, RandomSource
 from .codec import Message
 from .enginemover import EngineMover
-from .enginepace import TokenPace
+from .enginepace import TokenTimeEstimator
 from .enginereports import EngineReports
 from .errors import BackendCutError
 from .link import Link
 from .logs import log_decision, log_event
 from .metrics import Metrics
-from .movableengine import EnginePlace, EngineReading, MovableEngine
+from .movableengine import EngineLocation, EngineReading, MovableEngine
 from .peerlink import PeerServer
 
 __all__ = ('EngineKeeper',)
@@ -43,7 +43,7 @@
     def __init__(
         self,
         engine: MovableEngine,
-        place: EnginePlace,
+        place: EngineLocation,
         clock: Clock,
         metrics: Metrics,
         random: RandomSource,
@@ -62,7 +62,7 @@
             ask=self._ask_some,
         )
         self._reports = EngineReports()
-        self._pace = TokenPace()
+        self._pace = TokenTimeEstimator()
         self._gathering: asyncio.TimerHandle | None = None
         self._reading: EngineReading | None = None
         self._engine_answers = asyncio.Event()
@@ -120,7 +120,7 @@
             case wire.LimitTold():
                 self._broadcast(message, link)
 
-    async def run_naming(self) -> None:
+    async def run_identification(self) -> None:
         """Learn the engine's name, for announcements, until cancelled.
 
         A full engine answers late or not at all, so this never holds up the
@@ -135,7 +135,7 @@
                 self._engine_answers.clear()
                 self._named.set()
 
-    async def wait_named(self, seconds: float) -> None:
+    async def wait_identified(self, seconds: float) -> None:
         """Wait until the engine's name is learned, or for some time."""
         try:
             async with asyncio.timeout(seconds):
@@ -180,7 +180,7 @@
         self.found = None
         self._engine_answers.clear()
         self._named.clear()
-        self._pace = TokenPace()
+        self._pace = TokenTimeEstimator()
         self._reports.take(_GONE, self._clock.monotonic())
         # Entries would take silence for the loss of this process.
         self._tell()
@@ -224,5 +224,5 @@
         now = self._clock.monotonic()
         report = self._reports.make(self.server.peers)
         if at_once or self._reports.is_due(report, now):
-            self._reports.note_told(report, now)
+            self._reports.record_sent(report, now)
             self._broadcast(report)
--- a/primrosewood/enginemover.py
+++ b/primrosewood/enginemover.py
@@ -10,7 +10,7 @@
 from .expectedends import ExpectedEnds
 from .logs import log_decision, log_event
 from .metrics import Metrics
-from .movableengine import EnginePlace, EngineReading, MovableEngine
+from .movableengine import EngineLocation, EngineReading, MovableEngine
 from .moves import EngineRun, MoveTarget, choose_target, plan_moves
 from .process import spawn
 
@@ -41,7 +41,7 @@
     def __init__(
         self,
         engine: MovableEngine,
-        place: EnginePlace,
+        place: EngineLocation,
         clock: Clock,
         metrics: Metrics,
         random: RandomSource,
--- a/primrosewood/enginepace.py
+++ b/primrosewood/enginepace.py
@@ -12,7 +12,7 @@
     'PROMPT_TOKENS_A_SECOND',
     'TOKEN_SECONDS',
     'ReadingPace',
-    'TokenPace',
+    'TokenTimeEstimator',
 )
 
 # Prompts are read one after the other, so what stands before a call is time
@@ -30,7 +30,7 @@
 _FASTEST_READING = 200_000
 
 
-class TokenPace:
+class TokenTimeEstimator:
     """What a token takes on one engine, from readings of its generations.
 
     Attributes
--- a/primrosewood/enginereports.py
+++ b/primrosewood/enginereports.py
@@ -13,7 +13,7 @@
 from . import gen_wire as wire
 from .backendset import EngineState
 
-__all__ = ('EngineReports', 'read_report')
+__all__ = ('EngineReports', 'state_from_report')
 
 # Without news a report still shows that this process lives.
 _BEAT_SECONDS = 0.5
@@ -102,7 +102,7 @@
         least = -_BURST if self._is_fuller(report) else 1
         return self._credit >= least
 
-    def note_told(self, report: wire.EngineReport, now: float) -> None:
+    def record_sent(self, report: wire.EngineReport, now: float) -> None:
         """Note that a report goes out."""
         self._fill(report.entries, now)
         self._credit = max(-_BURST, self._credit - 1)
@@ -122,7 +122,7 @@
         self._filled_at = now
 
 
-def read_report(report: wire.EngineReport) -> EngineState:
+def state_from_report(report: wire.EngineReport) -> EngineState:
     """Return the state that a report tells."""
     return EngineState(
         running=report.running,
--- a/primrosewood/engineview.py
+++ b/primrosewood/engineview.py
@@ -7,10 +7,10 @@
 from .backendset import Backend, BackendRecord, BackendSet
 from .clock import Clock
 from .codec import Message
-from .enginereports import read_report
+from .enginereports import state_from_report
 from .link import Link
 from .logs import log_event
-from .moves import MoveNotice, NoticeBoard
+from .moves import MoveNotice, MoveNotices
 from .peerlink import LinkIdentity, PeerLink
 from .routes import TableHolder
 from .shares import EntryCount
@@ -43,7 +43,7 @@
         self,
         backends: BackendSet,
         tables: TableHolder,
-        notices: NoticeBoard,
+        notices: MoveNotices,
         entries: EntryCount,
         identity: LinkIdentity,
         clock: Clock,
@@ -82,7 +82,7 @@
         """Give up what is silent, or whose engine left long ago."""
         now = self._clock.monotonic()
         for backend in self._backends.backends:
-            if backend.drop_old_state(now):
+            if backend.drop_stale_state(now):
                 log_event('reports_stopped', 'WARNING', endpoint=backend.name)
         for address, since in list(self._unlisted.items()):
             if now > since + _LINGER_SECONDS:
@@ -107,7 +107,8 @@
                 _free_tokens(backend),
             )
             for backend in self._backends.usable(service)
-            if _has_slot(backend) and not backend.call_limit.find_wait(now)
+            if _has_slot(backend)
+            and not backend.call_limit.seconds_until_call(now)
         ]
 
     def take_found(self, found: wire.EngineFound) -> bool:
@@ -169,7 +170,7 @@
         if link is not None:
             link.send(wire.CallPlaced(name, unread, whole))
 
-    def take_announcement(self, message: Message, _link: Link) -> None:
+    def handle_announcement(self, message: Message, _link: Link) -> None:
         """Act on what came from the process beside an engine directly."""
         if isinstance(message, wire.EngineFound) and self.take_found(message):
             for link in self._links.values():
@@ -216,7 +217,7 @@
         if backend.state is None:
             log_event('reports_heard', endpoint=backend.name)
         was_stopping = backend.stopping
-        backend.take_state(read_report(report), self._clock.monotonic())
+        backend.update_state(state_from_report(report), self._clock.monotonic())
         if backend.stopping != was_stopping:
             log_event(
                 'endpoint_reported',
--- a/primrosewood/entry.py
+++ b/primrosewood/entry.py
@@ -15,7 +15,7 @@
 from .claims import ClaimKeeper
 from .clock import SystemClock, make_random
 from .codec import Message
-from .config import ProcessConfig, make_contexts
+from .config import ProcessConfig, make_tls_contexts
 from .dispatch import Dispatcher
 from .etcd import EtcdKeyValue
 from .fleet import ENTRY_SERVICE, Fleet
@@ -31,9 +31,9 @@
 from .progress import EntryContext
 from .routing import make_policy
 from .settings import SETTINGS_PREFIX, SettingsStore
-from .unsent import has_unsent
-from .vmlist import HttpVmList
-from .watcher import Watcher, WatchPace
+from .unsent import has_unsent_data
+from .vmlist import VmListPoller
+from .watcher import Watcher, PollSchedule
 
 __all__ = ('EntryProcess', 'main', 'run')
 
@@ -62,7 +62,7 @@
         self._fleet = Fleet(
             settings.name, self._store, self._clock, settings.timing
         )
-        self._server_tls, client_tls = make_contexts(
+        self._server_tls, client_tls = make_tls_contexts(
             settings.tls, config.folder
         )
         self._incarnation = make_identifier()
@@ -131,14 +131,14 @@
         settings_watcher = Watcher(
             self._key_value,
             SETTINGS_PREFIX,
-            WatchPace(timing.poll_seconds),
-            self._store.take_pair,
+            PollSchedule(timing.poll_seconds),
+            self._store.apply_pair,
         )
         member_watcher = Watcher(
             self._key_value,
             MEMBERS_PREFIX,
-            WatchPace(timing.poll_seconds),
-            self._fleet.take_pair,
+            PollSchedule(timing.poll_seconds),
+            self._fleet.apply_pair,
         )
         tasks = [
             spawn(settings_watcher.run(), 'settings'),
@@ -157,11 +157,11 @@
             tasks.append(spawn(self._make_vm_list_poller().run(), 'vm list'))
         return tasks
 
-    def _make_vm_list_poller(self) -> HttpVmList:
-        return HttpVmList(
+    def _make_vm_list_poller(self) -> VmListPoller:
+        return VmListPoller(
             self._settings.vm_list_url,
             self._settings.timing.vm_list_seconds,
-            self._fleet.take_vms,
+            self._fleet.apply_vm_list,
         )
 
     def _make_claim_router(self) -> ClaimRouter:
@@ -270,7 +270,7 @@
         # silence changes no membership record that a watch could report.
         while True:
             await asyncio.sleep(_DEAD_MEMBER_CHECK_SECONDS)
-            if self._fleet.forget_dead():
+            if self._fleet.remove_dead_members():
                 self._update_links()
 
     async def _drain(self, *runners: web.AppRunner) -> None:
@@ -295,7 +295,7 @@
     def _has_pending_work(self, runners: tuple[web.AppRunner, ...]) -> bool:
         if self._caller_api.active or self._administration_api.active:
             return True
-        return any(has_unsent(runner) for runner in runners)
+        return any(has_unsent_data(runner) for runner in runners)
 
 
 def run(settings: str, check: bool = False) -> None:
--- a/primrosewood/etcd.py
+++ b/primrosewood/etcd.py
@@ -9,20 +9,20 @@
 import msgspec
 
 from .errors import StoreUnavailableError
-from .kv import Change, KeyValue, Listing, Pair, Swap
+from .kv import Change, KeyValue, Listing, Pair, SwapResult
 
-__all__ = ('EtcdKeyValue', 'decode_text', 'encode_text', 'end_of_prefix')
+__all__ = ('EtcdKeyValue', 'decode_base64', 'encode_base64', 'end_of_prefix')
 
 _LONGEST_WATCH_LINE = 8_388_608
 
 
-def encode_text(text: str | bytes) -> str:
+def encode_base64(text: str | bytes) -> str:
     """Return bytes as the gateway writes them."""
     raw = text.encode() if isinstance(text, str) else text
     return base64.b64encode(raw).decode()
 
 
-def decode_text(text: str) -> bytes:
+def decode_base64(text: str) -> bytes:
     """Return the bytes behind a field of the gateway."""
     return base64.b64decode(text)
 
@@ -57,7 +57,7 @@
 
     async def fetch(self, key: str) -> Pair | None:
         """Return the pair of a key, None when absent."""
-        found = await self._call('kv/range', {'key': encode_text(key)})
+        found = await self._call('kv/range', {'key': encode_base64(key)})
         return next(iter(_to_pairs(found)), None)
 
     async def list_pairs(self, prefix: str, since: int = 0) -> list[Pair]:
@@ -74,18 +74,20 @@
 
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Write when the key's revision is ``expected`` (0 for absent)."""
         query = {
             'compare': [_compare(key, expected)],
             'success': [{'request_put': _put(key, stored, lease)}],
-            'failure': [{'request_range': {'key': encode_text(key)}}],
+            'failure': [{'request_range': {'key': encode_base64(key)}}],
         }
         answer = await self._call('kv/txn', query)
         if answer.get('succeeded'):
-            return Swap(swapped=True, revision=_revision(answer))
+            return SwapResult(swapped=True, revision=_revision(answer))
         found = answer['responses'][0]['response_range']
-        return Swap(swapped=False, current=next(iter(_to_pairs(found)), None))
+        return SwapResult(
+            swapped=False, current=next(iter(_to_pairs(found)), None)
+        )
 
     async def put(self, key: str, stored: bytes, lease: int = 0) -> int:
         """Write whatever stands there and return the revision."""
@@ -109,8 +111,8 @@
         """Yield changes below a prefix from a revision on, until cut off."""
         request = {
             'create_request': {
-                'key': encode_text(prefix),
-                'range_end': encode_text(end_of_prefix(prefix)),
+                'key': encode_base64(prefix),
+                'range_end': encode_base64(end_of_prefix(prefix)),
                 'start_revision': str(since),
             }
         }
@@ -173,8 +175,8 @@
 
 def _below(prefix: str) -> dict[str, str]:
     return {
-        'key': encode_text(prefix),
-        'range_end': encode_text(end_of_prefix(prefix)),
+        'key': encode_base64(prefix),
+        'range_end': encode_base64(end_of_prefix(prefix)),
     }
 
 
@@ -184,8 +186,8 @@
 
 def _to_pair(fields: Any) -> Pair:
     return Pair(
-        key=decode_text(fields['key']).decode(),
-        stored=decode_text(fields.get('value', '')),
+        key=decode_base64(fields['key']).decode(),
+        stored=decode_base64(fields.get('value', '')),
         revision=int(fields['mod_revision']),
     )
 
@@ -196,7 +198,7 @@
 
 def _compare(key: str, expected: int) -> dict[str, str]:
     return {
-        'key': encode_text(key),
+        'key': encode_base64(key),
         'target': 'MOD',
         'result': 'EQUAL',
         'mod_revision': str(expected),
@@ -205,7 +207,7 @@
 
 def _put(key: str, stored: bytes, lease: int) -> dict[str, str]:
     return {
-        'key': encode_text(key),
-        'value': encode_text(stored),
+        'key': encode_base64(key),
+        'value': encode_base64(stored),
         'lease': str(lease),
     }
--- a/primrosewood/fleet.py
+++ b/primrosewood/fleet.py
@@ -88,7 +88,7 @@
             )
         )
 
-    def take_pair(self, key: str, pair: Pair | None) -> None:
+    def apply_pair(self, key: str, pair: Pair | None) -> None:
         """Take a change of a membership record."""
         name = key.removeprefix(MEMBERS_PREFIX)
         if pair is None:
@@ -97,9 +97,9 @@
                 view.leased = False
             self._changed.on_next(name)
             return
-        self.take_member(parse_member(pair.stored))
+        self.apply_member(parse_member(pair.stored))
 
-    def take_member(self, member: MemberRecord) -> None:
+    def apply_member(self, member: MemberRecord) -> None:
         """Take a membership record."""
         view = self._views.get(member.name)
         if view is None:
@@ -110,7 +110,7 @@
         view.vm_state = self._vm_states.get(member.vm, VmState.unseen)
         self._changed.on_next(member.name)
 
-    def take_vms(self, listed: dict[str, VmState]) -> None:
+    def apply_vm_list(self, listed: dict[str, VmState]) -> None:
         """Take a whole VM list.
 
         A VM that was never on the list may be newer than the list, which
@@ -123,7 +123,7 @@
             vm = view.member.vm
             view.vm_state = self._vm_states.get(vm, VmState.unseen)
 
-    def forget_dead(self) -> bool:
+    def remove_dead_members(self) -> bool:
         """Forget members that are gone; tell whether there were any."""
         now = self._clock.monotonic()
         # An endpoint that stood still past its lease comes back with the
@@ -141,7 +141,7 @@
 
     def rebuild(self) -> None:
         """Choose the subsets anew from those that are not gone."""
-        self.forget_dead()
+        self.remove_dead_members()
         groups: dict[ServiceName, list[Candidate]] = {}
         for view in self.endpoints:
             member = view.member
--- a/primrosewood/identity.py
+++ b/primrosewood/identity.py
@@ -8,7 +8,7 @@
 
 __all__ = (
     'digest_key',
-    'digest_template',
+    'digest_prompt_prefix',
     'hash_secret',
     'make_identifier',
     'match_secret',
@@ -34,7 +34,7 @@
     return hmac.compare_digest(hash_secret(secret), expected_sha256)
 
 
-def digest_template(prompt: str) -> str:
+def digest_prompt_prefix(prompt: str) -> str:
     """Return a short digest of what a prompt begins with.
 
     Prompts made from one template begin alike, and their answers are of like
--- a/primrosewood/invariants.py
+++ b/primrosewood/invariants.py
@@ -11,7 +11,7 @@
 __all__ = (
     'AnswerRecord',
     'History',
-    'OutPeriod',
+    'OutOfServicePeriod',
     'RunRecord',
     'SettingRecord',
     'check_history',
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OutPeriod:
+class OutOfServicePeriod:
     """A time in which an endpoint or failure domain was out.
 
     Attributes
@@ -95,7 +95,7 @@
 
     answers: list[AnswerRecord] = field(default_factory=list)
     runs: list[RunRecord] = field(default_factory=list)
-    outs: list[OutPeriod] = field(default_factory=list)
+    outs: list[OutOfServicePeriod] = field(default_factory=list)
     settings: list[SettingRecord] = field(default_factory=list)
 
 
@@ -152,7 +152,7 @@
 
 
 def check_left_out(
-    runs: Iterable[RunRecord], outs: Iterable[OutPeriod]
+    runs: Iterable[RunRecord], outs: Iterable[OutOfServicePeriod]
 ) -> list[str]:
     """Check that what is out gets no new work after the grace."""
     breaches = []
@@ -179,7 +179,7 @@
     return breaches
 
 
-def _is_breach(run: RunRecord, out: OutPeriod) -> bool:
+def _is_breach(run: RunRecord, out: OutOfServicePeriod) -> bool:
     if out.name not in {run.endpoint, run.failure_domain}:
         return False
     return out.since + out.grace < run.at < out.until
--- a/primrosewood/kv.py
+++ b/primrosewood/kv.py
@@ -10,12 +10,12 @@
 
 __all__ = (
     'Change',
-    'Changes',
+    'ChangeList',
     'KeyValue',
     'Listing',
     'MemoryKeyValue',
     'Pair',
-    'Swap',
+    'SwapResult',
 )
 
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Swap:
+class SwapResult:
     """Outcome of a compare-and-swap.
 
     Attributes
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
+class ChangeList:
     """What changed below a prefix.
 
     Attributes
@@ -104,7 +104,7 @@
     async def list_all(self, prefix: str) -> Listing:
         """Return all pairs below a prefix."""
 
-    async def list_changes(self, prefix: str, known: int) -> Changes:
+    async def list_changes(self, prefix: str, known: int) -> ChangeList:
         """Return at once what changed below a prefix after a revision.
 
         Raises
@@ -117,7 +117,7 @@
     @abstractmethod
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Write when the key's revision is ``expected`` (0 for absent)."""
 
     @abstractmethod
@@ -190,7 +190,7 @@
         revision = self._revision
         return Listing(await self.list_pairs(prefix), revision)
 
-    async def list_changes(self, prefix: str, known: int) -> Changes:
+    async def list_changes(self, prefix: str, known: int) -> ChangeList:
         """Return what changed below a prefix after a revision."""
         self.expire_leases()
         changes = [
@@ -198,18 +198,20 @@
             for change in self._log
             if change.revision > known and change.key.startswith(prefix)
         ]
-        return Changes(changes, self._revision)
+        return ChangeList(changes, self._revision)
 
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Write when the key's revision is ``expected`` (0 for absent)."""
         self.expire_leases()
         current = self._pairs.get(key)
         revision = current.revision if current else 0
         if revision != expected:
-            return Swap(swapped=False, current=current)
-        return Swap(swapped=True, revision=self._write(key, stored, lease))
+            return SwapResult(swapped=False, current=current)
+        return SwapResult(
+            swapped=True, revision=self._write(key, stored, lease)
+        )
 
     async def put(self, key: str, stored: bytes, lease: int = 0) -> int:
         """Write whatever stands there and return the revision."""
--- a/primrosewood/linkpool.py
+++ b/primrosewood/linkpool.py
@@ -210,7 +210,7 @@
         if welcome.process != self.view.name:
             raise WireError('another process answered at the address')
         self.view.incarnation = welcome.incarnation
-        self.view.take_load(welcome.load)
+        self.view.update_load(welcome.load)
         self.view.heard_at = self._clock.monotonic()
         self.view.linked = True
         log_event('link_opened', peer=self.view.name)
@@ -226,7 +226,7 @@
             self.view.digest = message.digest
         load = getattr(message, 'load', None)
         if load:
-            self.view.take_load(load)
+            self.view.update_load(load)
         if handle_settings_message(message, link, self._store):
             return
         inbox = self._inboxes.get(message.attempt)
--- a/primrosewood/loglines.py
+++ b/primrosewood/loglines.py
@@ -6,12 +6,18 @@
 from dataclasses import dataclass
 from datetime import datetime
 
-__all__ = ('OUTCOMES', 'STOPPED', 'LogLine', 'count_outcomes', 'parse_lines')
+__all__ = (
+    'OUTCOMES',
+    'PROCESS_STOPPED',
+    'LogLine',
+    'count_outcomes',
+    'parse_lines',
+)
 
 # Events that end a request.
 OUTCOMES = frozenset(('answered', 'call_failed', 'refused', 'caller_left'))
 # Why a call ended when its process did.
-STOPPED = 'this process stopped'
+PROCESS_STOPPED = 'this process stopped'
 _LINE_START = 'ts='
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 
--- a/primrosewood/losses.py
+++ b/primrosewood/losses.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from .loglines import OUTCOMES, LogLine
-from .logstory import tell_story
+from .requesttrace import tell_story
 
 __all__ = ('Loss', 'find_losses')
 
--- a/primrosewood/membership.py
+++ b/primrosewood/membership.py
@@ -92,7 +92,7 @@
         waiting = self.load.running + self.load.queued + self.offered
         return waiting / max(1, self.load.limit)
 
-    def take_load(self, load: Load) -> None:
+    def update_load(self, load: Load) -> None:
         """Replace the load by a newer report."""
         self.load = load
         self.offered = 0
--- a/primrosewood/memory.py
+++ b/primrosewood/memory.py
@@ -5,7 +5,7 @@
 
 from .lengths import HORIZONS, LengthPredictor
 
-__all__ = ('Booking', 'MemoryTracker')
+__all__ = ('Reservation', 'MemoryTracker')
 
 _MIN_DEVIATIONS = 3.0
 _MAX_DEVIATIONS = 4.0
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Booking:
+class Reservation:
     """KV cache memory of one generation, now and at most, in tokens.
 
     Attributes
@@ -67,7 +67,7 @@
         """Start without generations."""
         self.capacity = capacity
         self._lengths = lengths
-        self._bookings: dict[str, Booking] = {}
+        self._reservations: dict[str, Reservation] = {}
         self._deviations = _MIN_DEVIATIONS
         self._totals: list[_MemoryDemand] = []
         self._tokens_since_refresh = _REFRESH_TOKENS
@@ -85,38 +85,40 @@
         demand = self._bound_demand(self._get_totals()[0])
         return int(demand * _PERMILLE / self.capacity)
 
-    def fits(self, booking: Booking) -> bool:
+    def fits(self, reservation: Reservation) -> bool:
         """Return whether one more generation fits.
 
         An idle engine takes any generation: waiting would not free memory.
         """
-        if not self.capacity or not self._bookings:
+        if not self.capacity or not self._reservations:
             return True
-        alive = self._lengths.predict(booking.group, booking.produced).alive
+        alive = self._lengths.predict(
+            reservation.group, reservation.produced
+        ).alive
         return all(
             self._bound_demand(
-                total.plus(_estimate_demand(booking, index, alive))
+                total.plus(_estimate_demand(reservation, index, alive))
             )
             <= self.capacity
             for index, total in enumerate(self._get_totals())
             if alive[index] >= _MIN_SURVIVAL or not index
         )
 
-    def add(self, name: str, booking: Booking) -> None:
+    def add(self, name: str, reservation: Reservation) -> None:
         """Add a generation."""
-        self._bookings[name] = booking
+        self._reservations[name] = reservation
         self._tokens_since_refresh = _REFRESH_TOKENS
 
     def grow(self, name: str, produced: int) -> None:
         """Record how many tokens a generation has produced."""
-        booking = self._bookings.get(name)
-        if booking is not None:
-            self._tokens_since_refresh += produced - booking.produced
-            booking.produced = produced
+        reservation = self._reservations.get(name)
+        if reservation is not None:
+            self._tokens_since_refresh += produced - reservation.produced
+            reservation.produced = produced
 
     def remove(self, name: str) -> None:
         """Remove a generation; unknown names are ignored."""
-        self._bookings.pop(name, None)
+        self._reservations.pop(name, None)
         self._tokens_since_refresh = _REFRESH_TOKENS
         self._deviations = max(
             _MIN_DEVIATIONS, self._deviations - _DEVIATIONS_PER_FINISH
@@ -145,10 +147,12 @@
 
     def _sum_demands(self) -> list['_MemoryDemand']:
         totals = [_MemoryDemand(0, 0, 0) for _ in HORIZONS]
-        for booking in self._bookings.values():
-            forecast = self._lengths.predict(booking.group, booking.produced)
+        for reservation in self._reservations.values():
+            forecast = self._lengths.predict(
+                reservation.group, reservation.produced
+            )
             for index, total in enumerate(totals):
-                total.add(_estimate_demand(booking, index, forecast.alive))
+                total.add(_estimate_demand(reservation, index, forecast.alive))
         return totals
 
 
@@ -174,9 +178,9 @@
 
 
 def _estimate_demand(
-    booking: Booking, index: int, alive: tuple[float, ...]
+    reservation: Reservation, index: int, alive: tuple[float, ...]
 ) -> _MemoryDemand:
-    max_held = booking.prompt + booking.max_output_tokens
-    projected = min(max_held, booking.held + HORIZONS[index])
+    max_held = reservation.prompt + reservation.max_output_tokens
+    projected = min(max_held, reservation.held + HORIZONS[index])
     mean = alive[index] * projected
     return _MemoryDemand(projected, mean, mean * (projected - mean))
--- a/primrosewood/movableengine.py
+++ b/primrosewood/movableengine.py
@@ -6,7 +6,7 @@
 from .backendset import EngineState
 from .moves import EngineRun
 
-__all__ = ('EnginePlace', 'EngineReading', 'MovableEngine')
+__all__ = ('EngineLocation', 'EngineReading', 'MovableEngine')
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EnginePlace:
+class EngineLocation:
     """Where the engine stands."""
 
     service: str
--- a/primrosewood/moves.py
+++ b/primrosewood/moves.py
@@ -15,7 +15,7 @@
     'EngineRun',
     'MoveNotice',
     'MoveTarget',
-    'NoticeBoard',
+    'MoveNotices',
     'choose_target',
     'plan_moves',
 )
@@ -141,7 +141,7 @@
     return alike[int(draw * len(alike))]
 
 
-class NoticeBoard:
+class MoveNotices:
     """Notices of moves at an entry, matched to streams that were cut.
 
     A notice and the cut that it explains come over different connections, in
--- a/primrosewood/platform/beliefs.py
+++ b/primrosewood/platform/beliefs.py
@@ -36,7 +36,7 @@
         self._changed = changed
         self._answered: bool | None = None
 
-    def take_pair(self, key: str, pair: Pair | None) -> None:
+    def apply_pair(self, key: str, pair: Pair | None) -> None:
         """Take a key's new value, None for a deletion."""
         if key == documents.TABLE_KEY:
             self._take_table(pair)
@@ -46,9 +46,9 @@
             name = key.removeprefix(documents.BACKENDS_PREFIX)
             self._take_backend(name, pair)
 
-    def note_store(self, answered: bool) -> None:
+    def record_store_result(self, answered: bool) -> None:
         """Note whether the service answered."""
-        self._backends.note_store(answered, self._clock.monotonic())
+        self._backends.record_store_result(answered, self._clock.monotonic())
         if answered != self._answered:
             self._answered = answered
             log_event('store_regained' if answered else 'store_lost')
--- a/primrosewood/platform/endpoint.py
+++ b/primrosewood/platform/endpoint.py
@@ -11,7 +11,7 @@
 from ..link import Link
 from ..logs import log_event
 from ..metrics import Metrics
-from ..movableengine import EnginePlace
+from ..movableengine import EngineLocation
 from ..peerlink import LinkIdentity, PeerLink, PeerServer
 from ..process import spawn
 from .engines import HttpMovableEngine
@@ -37,7 +37,9 @@
         self._stop_seconds = settings.limits.stop_seconds
         self._metrics = Metrics()
         self._engine = HttpMovableEngine(settings.endpoint.engine)
-        place = EnginePlace(settings.endpoint.service, settings.failure_domain)
+        place = EngineLocation(
+            settings.endpoint.service, settings.failure_domain
+        )
         self._keeper = EngineKeeper(
             self._engine, place, SystemClock(), self._metrics, make_random()
         )
@@ -71,7 +73,7 @@
 
     async def _follow_engine(self, stop: asyncio.Event) -> None:
         keeping = spawn(self._keeper.run(), 'keeper')
-        naming = spawn(self._keeper.run_naming(), 'engine name')
+        naming = spawn(self._keeper.run_identification(), 'engine name')
         announcing = spawn(self._announce(), 'announcements')
         try:
             await stop.wait()
@@ -100,7 +102,7 @@
     async def _send_found(self, links: list[PeerLink]) -> None:
         while True:
             # At once when it has started, and again for entries that start.
-            await self._keeper.wait_named(_ANNOUNCE_SECONDS)
+            await self._keeper.wait_identified(_ANNOUNCE_SECONDS)
             found = self._keeper.found
             for link in links:
                 if found is not None:
--- a/primrosewood/platform/engines.py
+++ b/primrosewood/platform/engines.py
@@ -15,7 +15,7 @@
 
 from ..backendset import Backend, EngineState
 from ..clock import Clock
-from ..directcalls import DirectCall, Header, Leg
+from ..directcalls import DirectCall, Header, BackendAttempt
 from ..errors import BackendCutError, ErrorKind, MisdirectedError, NotRunError
 from ..httpclient import never_repeat
 from ..movableengine import EngineReading
@@ -141,21 +141,25 @@
             await self._lazy_session.close()
 
     @asynccontextmanager
-    async def send(self, call: DirectCall, leg: Leg) -> AsyncIterator[_Reply]:
+    async def send(
+        self, call: DirectCall, backend_attempt: BackendAttempt
+    ) -> AsyncIterator[_Reply]:
         """Send a call; leaving the context ends what is still running."""
         if self._lazy_session is None:
             self._lazy_session = _make_session()
-        origin = _SCHEME + leg.backend.record.address
+        origin = _SCHEME + backend_attempt.backend.record.address
         sent_at = self._clock.monotonic()
         try:
             async with self._lazy_session.request(
                 call.method,
                 URL(origin + call.target, encoded=True),
-                headers=self._headers(call, leg),
+                headers=self._headers(call, backend_attempt),
                 data=call.body or None,
                 allow_redirects=False,
             ) as response:
-                self._read_limit(call, leg.backend, response, sent_at)
+                self._read_limit(
+                    call, backend_attempt.backend, response, sent_at
+                )
                 _check_answer(call, response)
                 yield _Reply(response)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
@@ -182,16 +186,18 @@
         if rate is not None or (sound and not text):
             self._note_limit(backend, rate, sent_at)
 
-    def _headers(self, call: DirectCall, leg: Leg) -> CIMultiDict[str]:
+    def _headers(
+        self, call: DirectCall, backend_attempt: BackendAttempt
+    ) -> CIMultiDict[str]:
         sent = CIMultiDict(call.headers)
         left = min(call.patience, call.deadline) - self._clock.monotonic()
         sent[headers.DEADLINE] = str(max(0, int(left * _MILLISECONDS)))
-        sent[headers.EXPECTED_BACKEND] = leg.backend.name
+        sent[headers.EXPECTED_BACKEND] = backend_attempt.backend.name
         if call.organisation:
             sent[headers.ORGANISATION] = call.organisation
-        if leg.after_event is not None:
-            sent[headers.LAST_EVENT] = str(leg.after_event)
-        resumption = leg.resumption
+        if backend_attempt.after_event is not None:
+            sent[headers.LAST_EVENT] = str(backend_attempt.after_event)
+        resumption = backend_attempt.resumption
         if resumption is not None:
             origin = f'{resumption.source}/{resumption.handle}'
             sent[headers.MOVED_FROM] = origin
--- a/primrosewood/platform/entry.py
+++ b/primrosewood/platform/entry.py
@@ -7,9 +7,9 @@
 
 from .. import gen_wire as wire
 from ..backendset import BackendSet
-from ..balancing import LeastPressed
+from ..balancing import LeastCostBalancer
 from ..calllimits import CallLimits
-from ..callplacement import CallPlacement, PlacementTools, RelayRules
+from ..callplacement import CallPlacement, PlacementDependencies, RelayRules
 from ..clock import SystemClock, make_random
 from ..codec import Message
 from ..engineview import EngineView
@@ -26,16 +26,16 @@
 from ..link import Link
 from ..logs import log_event
 from ..metrics import Metrics
-from ..moves import NoticeBoard
+from ..moves import MoveNotices
 from ..peerlink import LinkIdentity, PeerServer
 from ..process import spawn
-from ..relay import Relay, RelayTools
+from ..relay import Relay, RelayDependencies
 from ..routes import CallerLimits, TableHolder
 from ..sharedreader import SharedReader
 from ..shares import EntryCount, RepeatRule
 from ..stopping import StopWindow
 from ..storeview import StoreView
-from ..unsent import has_unsent
+from ..unsent import has_unsent_data
 from .beliefs import Beliefs
 from .engines import HttpTransport
 from .front import Front, answer_ready
@@ -70,7 +70,7 @@
         self._tables = TableHolder()
         self._entries = EntryCount(_ASSUMED_ENTRIES)
         self._backends = BackendSet(self._entries)
-        self._notices = NoticeBoard()
+        self._notices = MoveNotices()
         self._store = PlatformStore(settings.store, _STORE_SECONDS)
         self._engines = EngineView(
             backends=self._backends,
@@ -91,24 +91,24 @@
             make_random(),
             self._engines.send_to_one,
         )
-        self._transport = HttpTransport(self._clock, self._limits.note_answer)
+        self._transport = HttpTransport(self._clock, self._limits.record_answer)
         self._beliefs = Beliefs(
             self._tables, self._backends, self._clock, self._engines.update
         )
         self._reader = SharedReader(
             name=settings.name,
-            view=StoreView(self._store, _EVERYTHING, self._beliefs.take_pair),
+            view=StoreView(self._store, _EVERYTHING, self._beliefs.apply_pair),
             clock=self._clock,
             random=make_random(),
             send=self._engines.send_to_one,
-            note_answered=self._beliefs.note_store,
+            report_available=self._beliefs.record_store_result,
         )
         self._stop = StopWindow(
             settings.limits.stop_seconds - _CLOSE_SECONDS, _NOTICED_SECONDS
         )
         self._front = self._make_front()
         self._peers = PeerServer(
-            settings.link_key, self._engines.take_announcement
+            settings.link_key, self._engines.handle_announcement
         )
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -147,26 +147,26 @@
 
     def reload(self, settings: NodeSettings) -> None:
         """Take on the limits of changed settings."""
-        self._placement.take_rules(_to_rules(settings))
+        self._placement.update_rules(_to_rules(settings))
         self._stop.seconds = settings.limits.stop_seconds - _CLOSE_SECONDS
 
     def _make_front(self) -> Front:
         random = make_random()
         self._placement = CallPlacement(
-            PlacementTools(
+            PlacementDependencies(
                 rules=_to_rules(self._settings),
                 tables=self._tables,
                 backends=self._backends,
                 entries=self._entries,
-                balancer=LeastPressed(random),
+                balancer=LeastCostBalancer(random),
                 random=random,
                 clock=self._clock,
                 metrics=self._metrics,
                 announce=self._engines.announce_call,
-                count_call=self._limits.note_call,
+                count_call=self._limits.record_call,
             )
         )
-        tools = RelayTools(
+        tools = RelayDependencies(
             placement=self._placement,
             notices=self._notices,
             transport=self._transport,
@@ -184,7 +184,7 @@
 
     def _hear(self, message: Message, link: Link) -> None:
         if isinstance(message, wire.LimitTold):
-            self._limits.take_told(message)
+            self._limits.merge_from_peer(message)
         else:
             self._reader.handle(message, link)
 
@@ -229,7 +229,7 @@
 
     async def _wait_answered(self, callers: web.ServerRunner) -> None:
         release_connections(callers)
-        while self._front.active or has_unsent(callers):
+        while self._front.active or has_unsent_data(callers):
             await asyncio.sleep(_TICK_SECONDS)
             release_connections(callers)
 
--- a/primrosewood/platform/front.py
+++ b/primrosewood/platform/front.py
@@ -116,7 +116,7 @@
         # The body may have taken its time.
         judged = self._clock.monotonic()
         if self.stop.begun and not self.stop.admits(
-            call, self._relay.guess_length(call), judged
+            call, self._relay.estimate_answer_tokens(call), judged
         ):
             raise RequestFailedError(
                 ErrorKind.leaving,
@@ -125,7 +125,7 @@
         writer = _AnswerWriter(
             request,
             self._close_after,
-            partial(self.stop.must_hold, call, judged),
+            partial(self.stop.must_buffer, call, judged),
         )
         try:
             await self._relay.answer(call, writer)
@@ -218,7 +218,7 @@
 
     def _return_seconds(self, call: DirectCall, now: float) -> float:
         heeded = max(0, call.patience - now) * _HEEDED_SHARE
-        return min(self.stop.return_seconds(now), heeded)
+        return min(self.stop.seconds_until_retry(now), heeded)
 
     def _close_after(self, response: web.StreamResponse) -> None:
         if self.stop.begun:
@@ -235,11 +235,11 @@
         self,
         request: web.BaseRequest,
         close_after: Callable[[web.StreamResponse], None],
-        must_hold: Callable[[], bool],
+        must_buffer: Callable[[], bool],
     ) -> None:
         self._request = request
         self._close_after = close_after
-        self._must_hold = must_hold
+        self._must_hold = must_buffer
         self._response: web.StreamResponse | None = None
         self._held: list[bytes] = []
 
--- a/primrosewood/platform/headers.py
+++ b/primrosewood/platform/headers.py
@@ -139,6 +139,6 @@
     hint = find_header(headers, _HINT).strip()
     return GenerationSize(
         prompt_tokens=int(prompt),
-        most_tokens=int(most) if most.strip().isdigit() else 0,
+        max_answer_tokens=int(most) if most.strip().isdigit() else 0,
         hint=int(hint) if hint.isdigit() else 0,
     )
--- a/primrosewood/platform/load.py
+++ b/primrosewood/platform/load.py
@@ -124,7 +124,7 @@
     ) -> None:
         await _read(response, answer, started)
 
-    def _may_return(self, task: Task, answer: CallerAnswer) -> bool:
+    def _may_retry(self, task: Task, answer: CallerAnswer) -> bool:
         if answer.complete:
             return False
         return answer.ran == 'no' or task.kind.method == 'GET'
--- a/primrosewood/platform/store.py
+++ b/primrosewood/platform/store.py
@@ -16,7 +16,7 @@
     StoreUnavailableError,
 )
 from ..httpclient import never_repeat
-from ..kv import Change, Changes, KeyValue, Listing, Pair, Swap
+from ..kv import Change, ChangeList, KeyValue, Listing, Pair, SwapResult
 
 __all__ = ('PlatformStore',)
 
@@ -122,7 +122,7 @@
                 return Listing(pairs, revision)
             query['after'] = page.items[-1].key
 
-    async def list_changes(self, prefix: str, known: int) -> Changes:
+    async def list_changes(self, prefix: str, known: int) -> ChangeList:
         """Return at once what changed below a prefix after a revision."""
         query = {
             'path_prefix': prefix,
@@ -131,11 +131,11 @@
         }
         seen = _decode_events(await self._call('GET', '/kv-watch', query))
         changes = [_to_change(event) for event in seen.events]
-        return Changes(changes, seen.store_revision)
+        return ChangeList(changes, seen.store_revision)
 
     async def swap(
         self, key: str, stored: bytes, expected: int, lease: int = 0
-    ) -> Swap:
+    ) -> SwapResult:
         """Write when the key's revision is ``expected`` (0 for absent)."""
         status, body = await self._write(
             key, stored, lease, [{'key': key, 'revision': expected}]
@@ -144,8 +144,10 @@
             found = msgspec.json.decode(body).get('items', ())
             items = msgspec.convert(found, list[_Item])
             current = next((each for each in items if each.revision), None)
-            return Swap(False, current=_to_pair(current) if current else None)
-        return Swap(True, _decode(status, body, _Written).revision)
+            return SwapResult(
+                False, current=_to_pair(current) if current else None
+            )
+        return SwapResult(True, _decode(status, body, _Written).revision)
 
     async def put(self, key: str, stored: bytes, lease: int = 0) -> int:
         """Write whatever stands there and return the revision."""
--- a/primrosewood/process.py
+++ b/primrosewood/process.py
@@ -11,7 +11,7 @@
 from .config import (
     ProcessConfig,
     load_config,
-    load_node,
+    load_node_settings,
     require_section,
 )
 from .errors import SettingsInvalidError
@@ -113,7 +113,7 @@
     make
         Creates the node from the settings.
     """
-    load = partial(load_node, path, role)
+    load = partial(load_node_settings, path, role)
     settings = _load_or_exit(load)
     configure_logs(settings.name)
     node = make(settings)
--- a/primrosewood/relay.py
+++ b/primrosewood/relay.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from .backendset import Backend
-from .balancing import Booking
+from .balancing import Reservation
 from .callplacement import CallPlacement
 from .callprogress import CallProgress
 from .clock import Clock
@@ -13,7 +13,7 @@
     AnswerSink,
     BackendReply,
     DirectCall,
-    Leg,
+    BackendAttempt,
     Resumption,
     Transport,
 )
@@ -25,13 +25,13 @@
     WireError,
 )
 from .events import EventSplitter
-from .loglines import STOPPED
+from .loglines import PROCESS_STOPPED
 from .logs import log_decision
 from .metrics import Metrics
-from .moves import MoveNotice, NoticeBoard
+from .moves import MoveNotice, MoveNotices
 from .timers import TimerGroup
 
-__all__ = ('Relay', 'RelayTools')
+__all__ = ('Relay', 'RelayDependencies')
 
 # A repeatable call that has no answer after this share of its objective is
 # sent to another back end, in time for an answer on time.  Nine in ten plain
@@ -52,11 +52,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayTools:
+class RelayDependencies:
     """What the relay works with."""
 
     placement: CallPlacement
-    notices: NoticeBoard
+    notices: MoveNotices
     transport: Transport
     clock: Clock
     metrics: Metrics
@@ -65,7 +65,7 @@
 class Relay:
     """Brings each direct call to one back end and its answer back."""
 
-    def __init__(self, tools: RelayTools) -> None:
+    def __init__(self, tools: RelayDependencies) -> None:
         """Take the tools."""
         self._tools = tools
         self._placement = tools.placement
@@ -97,13 +97,13 @@
         """
         self._timers.end()
 
-    def guess_length(self, call: DirectCall) -> int:
+    def estimate_answer_tokens(self, call: DirectCall) -> int:
         """Return the tokens that a call's answer is expected to have."""
-        return self._placement.guess_length(call)
+        return self._placement.estimate_answer_tokens(call)
 
     def _end_in_time(self, progress: CallProgress) -> RequestFailedError:
         if self._timers.ended:
-            why = BackendCutError(STOPPED)
+            why = BackendCutError(PROCESS_STOPPED)
             return self._placement.end(progress, ErrorKind.outcome_unknown, why)
         return self._placement.end(progress, ErrorKind.deadline_exceeded)
 
@@ -145,47 +145,58 @@
     async def _fetch_patiently(
         self, progress: CallProgress, backend: Backend
     ) -> tuple[AnswerHead, bytes]:
-        leg = Leg(backend)
-        with self._placement.book(progress, leg):
-            async with self._tools.transport.send(progress.call, leg) as reply:
+        backend_attempt = BackendAttempt(backend)
+        with self._placement.book(progress, backend_attempt):
+            async with self._tools.transport.send(
+                progress.call, backend_attempt
+            ) as reply:
                 return await _read_whole(reply)
 
     async def _answer_stream(
         self, progress: CallProgress, sink: AnswerSink
     ) -> None:
-        leg = self._begin(progress)
+        backend_attempt = self._begin(progress)
         while True:
             try:
-                await self._follow(progress, leg, sink)
+                await self._follow(progress, backend_attempt, sink)
             except NotRunError as error:
-                leg = self._send_again(progress, leg, error)
+                backend_attempt = self._send_again(
+                    progress, backend_attempt, error
+                )
             except (BackendCutError, WireError) as error:
-                leg = await self._go_on(progress, leg, error)
+                backend_attempt = await self._go_on(
+                    progress, backend_attempt, error
+                )
             else:
                 return
 
     async def _follow(
-        self, progress: CallProgress, leg: Leg, sink: AnswerSink
+        self,
+        progress: CallProgress,
+        backend_attempt: BackendAttempt,
+        sink: AnswerSink,
     ) -> None:
         call = progress.call
         # A notice of an earlier move must not explain a later cut.
         self._tools.notices.forget(call.name)
-        with self._placement.book(progress, leg) as booking:
-            async with self._tools.transport.send(call, leg) as reply:
+        with self._placement.book(progress, backend_attempt) as reservation:
+            async with self._tools.transport.send(
+                call, backend_attempt
+            ) as reply:
                 if reply.status == _STATUS_OK:
-                    await self._pass_on(progress, reply, sink, booking)
+                    await self._pass_on(progress, reply, sink, reservation)
                 else:
                     await self._pass_failure(progress, reply, sink)
                 status = reply.status
         self._placement.learn(progress)
-        self._note_answer(progress, leg.backend, status)
+        self._note_answer(progress, backend_attempt.backend, status)
 
     async def _pass_on(
         self,
         progress: CallProgress,
         reply: BackendReply,
         sink: AnswerSink,
-        booking: Booking,
+        reservation: Reservation,
     ) -> None:
         splitter = EventSplitter()
         async for part in reply.parts():
@@ -194,8 +205,8 @@
             if not fresh:
                 continue
             now = self._tools.clock.monotonic()
-            booking.note_event(now)
-            progress.note_event(now)
+            reservation.record_event(now)
+            progress.record_event(now)
             if not progress.begun:
                 progress.begun = True
                 await sink.begin(AnswerHead(reply.status, reply.headers))
@@ -215,27 +226,33 @@
         await sink.begin(head)
         await sink.write(body)
 
-    def _begin(self, progress: CallProgress) -> Leg:
+    def _begin(self, progress: CallProgress) -> BackendAttempt:
         backend = self._placement.choose(progress)
-        return Leg(backend, after_event=progress.order.last)
+        return BackendAttempt(backend, after_event=progress.order.last)
 
     def _send_again(
-        self, progress: CallProgress, leg: Leg, error: NotRunError
-    ) -> Leg:
-        if leg.resumption is not None:
+        self,
+        progress: CallProgress,
+        backend_attempt: BackendAttempt,
+        error: NotRunError,
+    ) -> BackendAttempt:
+        if backend_attempt.resumption is not None:
             raise self._placement.end(
                 progress, ErrorKind.outcome_unknown, error
             ) from error
-        self._placement.reconsider(progress, leg.backend, error)
+        self._placement.reconsider(progress, backend_attempt.backend, error)
         return self._begin(progress)
 
     async def _go_on(
-        self, progress: CallProgress, leg: Leg, error: Exception
-    ) -> Leg:
+        self,
+        progress: CallProgress,
+        backend_attempt: BackendAttempt,
+        error: Exception,
+    ) -> BackendAttempt:
         """Return where a stream that was cut goes on."""
-        notice = await self._await_notice(progress, leg.backend)
+        notice = await self._await_notice(progress, backend_attempt.backend)
         if notice is None or not notice.handle:
-            return self._begin_anew(progress, leg, error)
+            return self._begin_anew(progress, backend_attempt, error)
         progress.ran = max(1, progress.ran)
         last_event = progress.order.last
         log_decision(
@@ -248,14 +265,17 @@
         )
         self._tools.metrics.count('resumed')
         backend = self._placement.find_address(progress, notice.target)
-        return Leg(
+        return BackendAttempt(
             backend,
             Resumption(notice.source, notice.handle, last_event),
         )
 
     def _begin_anew(
-        self, progress: CallProgress, leg: Leg, error: Exception
-    ) -> Leg:
+        self,
+        progress: CallProgress,
+        backend_attempt: BackendAttempt,
+        error: Exception,
+    ) -> BackendAttempt:
         """Return where another generation takes the place of one that is lost.
 
         Raises
@@ -269,7 +289,7 @@
                 progress, ErrorKind.outcome_unknown, error
             ) from error
         cut = BackendCutError(str(error))
-        self._placement.reconsider(progress, leg.backend, cut)
+        self._placement.reconsider(progress, backend_attempt.backend, cut)
         self._tools.metrics.count('begun_anew')
         return self._begin(progress)
 
--- a/primrosewood/logstory.py
+++ b/primrosewood/requesttrace.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from .loglines import OUTCOMES, STOPPED, LogLine
+from .loglines import OUTCOMES, PROCESS_STOPPED, LogLine
 
 __all__ = ('Story', 'tell_story')
 
@@ -205,7 +205,7 @@
 def _why_lost(
     ordered: Sequence[LogLine], last: LogLine, beliefs: Sequence[LogLine]
 ) -> str:
-    if last.read('why') == STOPPED:
+    if last.read('why') == PROCESS_STOPPED:
         return f'{last.process} ended its planned stop before the answer'
     stays = [line for line in ordered if line.event == 'not_moved']
     lost = stays or [line for line in beliefs if line.event == 'engine_lost']
@@ -247,7 +247,7 @@
 ) -> str:
     if ends[-1].read('kind') == 'leaving':
         return _why_leaving(ordered, ends[-1])
-    if ends[0].read('why') == STOPPED:
+    if ends[0].read('why') == PROCESS_STOPPED:
         return f'{ends[0].process} ended its planned stop, it may have run'
     failed = [line for line in ordered if line.event == 'send_failed']
     if failed:
--- a/primrosewood/settings.py
+++ b/primrosewood/settings.py
@@ -103,7 +103,7 @@
         self._changes.on_next(record)
         return True
 
-    def take_pair(self, key: str, pair: Pair | None) -> None:
+    def apply_pair(self, key: str, pair: Pair | None) -> None:
         """Take a change of a stored subtree; deletions say nothing."""
         if pair is not None:
             team = key.removeprefix(SETTINGS_PREFIX)
--- a/primrosewood/sharedreader.py
+++ b/primrosewood/sharedreader.py
@@ -63,7 +63,7 @@
         clock: Clock,
         random: RandomSource,
         send: Callable[[Message], None],
-        note_answered: Callable[[bool], None],
+        report_available: Callable[[bool], None],
     ) -> None:
         """Start as a process that has not read anything."""
         self._name = name
@@ -71,7 +71,7 @@
         self._clock = clock
         self._random = random
         self._send = send
-        self._note_answered = note_answered
+        self._note_answered = report_available
         self._due_at = clock.monotonic()
         self._fresh_at = float('-inf')
         self._reading: asyncio.Timeout | None = None
@@ -160,7 +160,7 @@
             deleted=change.pair is None,
             stored=change.pair.stored if change.pair else b'',
         )
-        older = self._view.find_older(change.key)
+        older = self._view.find_previous(change.key)
         # Most have the version that this process had.  Who has another one
         # reads, or asks and is told the whole value.
         to_all = asker == _TO_ALL
@@ -181,10 +181,10 @@
         if told.since > known or len(changes) < len(found):
             # Something was told in between that did not come here; what is
             # told now holds all the same, but does not make this complete.
-            self._view.take_told(changes, known)
+            self._view.merge_from_peer(changes, known)
             self._due_at = self._clock.monotonic()
             return
-        self._view.take_told(changes, told.newest)
+        self._view.merge_from_peer(changes, told.newest)
         self._note_fresh(self._clock.monotonic())
         self._end_reading()
         if told.asker == self._name:
--- a/primrosewood/shares.py
+++ b/primrosewood/shares.py
@@ -212,7 +212,7 @@
         spread = max(1, entries / _ENTRIES_A_TOKEN)
         self._held_back = draw * min(_MOST_HELD_BACK, spread)
 
-    def find_wait(self, now: float) -> float:
+    def seconds_until_call(self, now: float) -> float:
         """Return the seconds until a call may be sent, 0 for at once."""
         if self._rate is None:
             return 0
--- a/primrosewood/stopping.py
+++ b/primrosewood/stopping.py
@@ -108,13 +108,13 @@
             why=why,
             guess=answer_tokens,
             hint=size.hint if size else None,
-            most=size.most_tokens if size else None,
+            most=size.max_answer_tokens if size else None,
             prompt=size.prompt_tokens if size else None,
             left=left,
         )
         return why != _TOO_LONG
 
-    def return_seconds(self, now: float) -> float:
+    def seconds_until_retry(self, now: float) -> float:
         """Return when a caller that is refused should come back.
 
         Early, another entry may be ready, and the answer still be on time.
@@ -125,7 +125,7 @@
             return _RETURN_SECONDS
         return max(0, self._ends_at - now) + _RESTART_SECONDS
 
-    def must_hold(self, call: DirectCall, judged: float) -> bool:
+    def must_buffer(self, call: DirectCall, judged: float) -> bool:
         """Tell whether a stream is handed on only when it is whole.
 
         One that was let in late ends before the process at any usual pace,
@@ -169,9 +169,9 @@
 
 
 def _greatest_seconds(size: GenerationSize | None) -> float:
-    if size is None or not size.most_tokens:
+    if size is None or not size.max_answer_tokens:
         return math.inf
-    return _prompt_seconds(size) + size.most_tokens * _SLOW_TOKEN_SECONDS
+    return _prompt_seconds(size) + size.max_answer_tokens * _SLOW_TOKEN_SECONDS
 
 
 def _prompt_seconds(size: GenerationSize | None) -> float:
--- a/primrosewood/storeview.py
+++ b/primrosewood/storeview.py
@@ -54,7 +54,7 @@
         """Return what is known of a key."""
         return self._known.get(key)
 
-    def find_older(self, key: str) -> Pair | None:
+    def find_previous(self, key: str) -> Pair | None:
         """Return the version before of a key with a large value."""
         return self._older.get(key)
 
@@ -102,7 +102,7 @@
         ]
         return changes
 
-    def take_told(self, changes: Iterable[Change], newest: int) -> None:
+    def merge_from_peer(self, changes: Iterable[Change], newest: int) -> None:
         """Take what a peer has read in place of this process.
 
         A watch goes on from where the service itself was last heard, not from
--- a/primrosewood/unsent.py
+++ b/primrosewood/unsent.py
@@ -2,10 +2,10 @@
 
 from aiohttp import web
 
-__all__ = ('has_unsent',)
+__all__ = ('has_unsent_data',)
 
 
-def has_unsent(runner: web.BaseRunner) -> bool:
+def has_unsent_data(runner: web.BaseRunner) -> bool:
     """Tell whether part of an answer waits in this process.
 
     The HTTP library and the event loop hold what a slow reader has not made
--- a/primrosewood/vmlist.py
+++ b/primrosewood/vmlist.py
@@ -9,7 +9,7 @@
 from .logs import log_event
 from .membership import VmState
 
-__all__ = ('HttpVmList', 'parse_vm_list')
+__all__ = ('VmListPoller', 'parse_vm_list')
 
 _TIMEOUT_SECONDS = 1.0
 
@@ -38,7 +38,7 @@
     }
 
 
-class HttpVmList:
+class VmListPoller:
     """Reads the list now and then; an unreadable list changes nothing."""
 
     def __init__(
--- a/primrosewood/watcher.py
+++ b/primrosewood/watcher.py
@@ -9,14 +9,14 @@
 from .logs import log_event
 from .storeview import StoreView, Taker
 
-__all__ = ('WatchPace', 'Watcher')
+__all__ = ('PollSchedule', 'Watcher')
 
 _RETRY_SECONDS = 0.5
 _POLLS_PER_LISTING = 120
 
 
 @dataclass(frozen=True, slots=True)
-class WatchPace:
+class PollSchedule:
     """How often a prefix is read beside the watch.
 
     Attributes
@@ -55,7 +55,7 @@
         self,
         store: KeyValue,
         prefix: str,
-        pace: WatchPace,
+        pace: PollSchedule,
         take: Taker,
     ) -> None:
         """Start without knowledge."""
--- a/primrosewood/worker.py
+++ b/primrosewood/worker.py
@@ -15,7 +15,7 @@
 from .errors import ErrorKind, NotRunError
 from .gen_process import Limits, Timing
 from .gen_team import Service
-from .identity import digest_template
+from .identity import digest_prompt_prefix
 from .jobs import CallJob, GenerationJob, Job
 from .link import Link
 from .logs import log_decision
@@ -428,7 +428,7 @@
             organisation=_full_name(offer),
             share=self._store.share_of(offer.team, offer.organisation),
             kind='streamed' if offer.streamed else 'whole',
-            template=digest_template(offer.prompt),
+            template=digest_prompt_prefix(offer.prompt),
             prompt_tokens=estimate_tokens(offer.prompt),
             max_output_tokens=offer.max_tokens,
             patience=min(self._service.queue_seconds, seconds_left),
--- a/standins/backends.py
+++ b/standins/backends.py
@@ -11,7 +11,7 @@
 
 from aiohttp import web
 
-__all__ = ('Copies', 'EngineStandIn', 'Ran', 'ServiceStandIn')
+__all__ = ('KvCopyStore', 'EngineStandIn', 'Ran', 'ServiceStandIn')
 
 _ATTEMPT = 'Primrosewood-Attempt-Id'
 _SEAL = 'Primrosewood-Response-Seal'
@@ -37,7 +37,7 @@
 
 
 @dataclass
-class Copies:
+class KvCopyStore:
     """Memory of moved runs, shared by all engines: events made by handle."""
 
     events: dict[str, int] = field(default_factory=dict)
@@ -102,7 +102,7 @@
         """Answer each call with the body."""
         super().__init__(name)
         self._body = body
-        self.spoil: Callable[[web.BaseRequest], None] | None = None
+        self.inject_fault: Callable[[web.BaseRequest], None] | None = None
         self.seconds = 0.0
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -112,8 +112,8 @@
             return refusal
         headers = await self._note(request)
         await asyncio.sleep(self.seconds)
-        if self.spoil is not None:
-            self.spoil(request)
+        if self.inject_fault is not None:
+            self.inject_fault(request)
         return web.Response(body=self._body, headers=headers)
 
 
@@ -128,7 +128,7 @@
         Shared by all engines of a test.
     """
 
-    def __init__(self, name: str, address: str, copies: Copies) -> None:
+    def __init__(self, name: str, address: str, copies: KvCopyStore) -> None:
         """Start without runs."""
         super().__init__(name)
         self.address = address
--- a/standins/enginemodel.py
+++ b/standins/enginemodel.py
@@ -36,9 +36,9 @@
     """
 
     capacity: int = 6000
-    most_running: int = 64
+    max_batch_size: int = 64
     step: float = 0.012
-    step_each: float = 0.0004
+    step_seconds_per_stream: float = 0.0004
     prefill_rate: float = 8000.0
     cold_tokens: int = 0
     cold_factor: float = 4.0
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Step:
+class StepResult:
     """What one step did."""
 
     seconds: float
@@ -122,10 +122,10 @@
                     return True
         return False
 
-    def step(self) -> Step:
+    def step(self) -> StepResult:
         """Take one decoding step."""
         prefill = self._admit()
-        result = Step(seconds=self._duration(prefill))
+        result = StepResult(seconds=self._duration(prefill))
         for stream in list(self.running):
             stream.produced += 1
             result.emitted.append(stream)
@@ -140,7 +140,7 @@
     def _admit(self) -> int:
         prefill = 0
         self.waiting.sort(key=lambda stream: -stream.priority)
-        while self.waiting and len(self.running) < self.shape.most_running:
+        while self.waiting and len(self.running) < self.shape.max_batch_size:
             stream = self.waiting[0]
             room = self.shape.capacity - self.memory
             if self.running and stream.held + 1 > room:
@@ -165,7 +165,7 @@
     def _duration(self, prefill: int) -> float:
         shape = self.shape
         batch = len(self.running)
-        seconds = shape.step + shape.step_each * batch
+        seconds = shape.step + shape.step_seconds_per_stream * batch
         seconds += prefill / shape.prefill_rate
         if self.cold:
             seconds *= shape.cold_factor
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -13,7 +13,7 @@
 import fire
 from aiohttp import web
 
-from .backends import Copies, EngineStandIn, ServiceStandIn
+from .backends import KvCopyStore, EngineStandIn, ServiceStandIn
 from .store import StoreStandIn
 
 __all__ = ('Fleet', 'make_record', 'make_route')
@@ -81,7 +81,7 @@
         runner = web.AppRunner(app, shutdown_timeout=0)
         await self._listen(runner, '127.0.0.1')
         await self._put('op/config', _make_table())
-        copies = Copies()
+        copies = KvCopyStore()
         for number in range(1, engines + 1):
             host = _host_of(number + 1)
             name = f'i-{number}'
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -13,7 +13,7 @@
 import fire
 from aiohttp import web
 
-from primrosewood.etcd import decode_text, encode_text
+from primrosewood.etcd import decode_base64, encode_base64
 from primrosewood.kv import Change, MemoryKeyValue, Pair
 
 from .serving import serve
@@ -82,7 +82,7 @@
         return left > 0
 
     async def _range(self, body) -> dict:
-        key = decode_text(body['key']).decode()
+        key = decode_base64(body['key']).decode()
         if 'range_end' in body:
             since = int(body.get('min_mod_revision', '0'))
             pairs = await self._store.list_pairs(key, since)
@@ -93,8 +93,8 @@
 
     async def _put(self, body) -> dict:
         await self._store.put(
-            decode_text(body['key']).decode(),
-            decode_text(body['value']),
+            decode_base64(body['key']).decode(),
+            decode_base64(body['value']),
             int(body.get('lease', '0')),
         )
         return {}
@@ -103,8 +103,8 @@
         compared = body['compare'][0]
         put = body['success'][0]['request_put']
         swap = await self._store.swap(
-            decode_text(compared['key']).decode(),
-            decode_text(put['value']),
+            decode_base64(compared['key']).decode(),
+            decode_base64(put['value']),
             int(compared['mod_revision']),
             int(put.get('lease', '0')),
         )
@@ -134,7 +134,7 @@
         response = web.StreamResponse()
         await response.prepare(request)
         await response.write(_line({'created': True}))
-        prefix = decode_text(wanted['key']).decode()
+        prefix = decode_base64(wanted['key']).decode()
         since = int(wanted['start_revision'])
         async for change in self._store.watch(prefix, since):
             if self._faults.get('down'):
@@ -174,8 +174,8 @@
 
 def _show_pair(pair: Pair) -> dict:
     return {
-        'key': encode_text(pair.key),
-        'value': encode_text(pair.stored),
+        'key': encode_base64(pair.key),
+        'value': encode_base64(pair.stored),
         'mod_revision': str(pair.revision),
     }
 
@@ -184,7 +184,7 @@
     if change.pair is not None:
         return {'kv': _show_pair(change.pair)}
     gone = {
-        'key': encode_text(change.key),
+        'key': encode_base64(change.key),
         'mod_revision': str(change.revision),
     }
     return {'type': 'DELETE', 'kv': gone}
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -22,7 +22,7 @@
 from primrosewood.gen_node import NodeSettings, SharedLimits
 from primrosewood.platform.endpoint import EndpointNode
 from primrosewood.platform.entry import EntryNode
-from standins.backends import Copies, EngineStandIn, ServiceStandIn
+from standins.backends import KvCopyStore, EngineStandIn, ServiceStandIn
 from standins.fleet import make_record, make_route
 from standins.store import StoreStandIn
 
@@ -37,7 +37,7 @@
     cold_slack=5,
 )
 KEY = {'Authorization': 'Bearer key-1'}
-GUIDE = {'Primrosewood-Token-Usage': '1000,80', **KEY}
+GENERATION_HEADERS = {'Primrosewood-Token-Usage': '1000,80', **KEY}
 
 
 def make_table(version=1, keys=('key-1',), prefix='/lookup/', **limits):
@@ -77,7 +77,7 @@
         self.stand_in = StoreStandIn()
         self.store_address = f'127.0.0.1:{free_port()}'
         await self.serve(self.stand_in.make_app(), self.store_address)
-        self.copies = Copies()
+        self.copies = KvCopyStore()
         self.engines = {}
         await self.put('op/config', make_table())
         self.service = ServiceStandIn('i-desk')
--- a/tests/processes/restarts/callers.py
+++ b/tests/processes/restarts/callers.py
@@ -91,7 +91,7 @@
             self._history.calls.append(call)
             if not await connection.exchange(call):
                 connection = None
-            if not _may_return(call):
+            if not _may_retry(call):
                 break
             await asyncio.sleep(float(call.headers.get('Retry-After', 0)))
         return connection
@@ -163,7 +163,7 @@
         return not self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
 
-def _may_return(call):
+def _may_retry(call):
     return call.end == End.unread or call.status == 503
 
 
--- a/tests/processes/test_leaving.py
+++ b/tests/processes/test_leaving.py
@@ -9,7 +9,7 @@
 from primrosewood.invariants import (
     AnswerRecord,
     History,
-    OutPeriod,
+    OutOfServicePeriod,
     RunRecord,
     check_history,
 )
@@ -91,7 +91,7 @@
         await come_back()
         await load
         history = await self.assert_nothing_lost(
-            [OutPeriod(name, since, until, _GRACE)]
+            [OutOfServicePeriod(name, since, until, _GRACE)]
         )
         last = max(
             (
@@ -152,7 +152,7 @@
             )
         )
         self.assertTrue(all(answer.done for answer in answers))
-        out = OutPeriod('caerdydd', since, time.time(), 0)
+        out = OutOfServicePeriod('caerdydd', since, time.time(), 0)
         self.assertEqual([], check_history(await self.history([out])))
 
     async def test_vm_list_and_store_down(self):
@@ -183,7 +183,7 @@
         await load
         code = await asyncio.to_thread(self.cluster.wait_ended, 'e2')
         self.assertEqual(0, code)
-        out = OutPeriod('e2', since, time.time(), _GRACE)
+        out = OutOfServicePeriod('e2', since, time.time(), _GRACE)
         await self.assert_nothing_lost([out])
 
     async def test_planned_stop_of_an_entry(self):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 from primrosewood.admission import Admission, AdmissionRequest
 from primrosewood.errors import NotRunError
 from primrosewood.lengths import HORIZONS, LengthHistogram, LengthPredictor
-from primrosewood.memory import Booking, MemoryTracker
+from primrosewood.memory import Reservation, MemoryTracker
 from primrosewood.warmup import ConcurrencyTargets
 
 
@@ -217,13 +217,13 @@
 
     def test_empty_engine_takes_anything(self):
         tracker = self.make_tracker()
-        self.assertTrue(tracker.fits(Booking(('long',), 5000, 5000)))
+        self.assertTrue(tracker.fits(Reservation(('long',), 5000, 5000)))
 
     def test_short_answers_pass_where_long_ones_do_not(self):
         tracker = self.make_tracker(capacity=800)
-        tracker.add('a', Booking(('long',), 50, 4000, produced=300))
-        self.assertFalse(tracker.fits(Booking(('long',), 50, 4000)))
-        self.assertTrue(tracker.fits(Booking(('short',), 50, 4000)))
+        tracker.add('a', Reservation(('long',), 50, 4000, produced=300))
+        self.assertFalse(tracker.fits(Reservation(('long',), 50, 4000)))
+        self.assertTrue(tracker.fits(Reservation(('short',), 50, 4000)))
 
     def test_preemptions_raise_the_reserve(self):
         tracker = self.make_tracker()
@@ -236,6 +236,6 @@
 
     def test_unknown_capacity_admits(self):
         tracker = self.make_tracker(capacity=0)
-        tracker.add('a', Booking(('long',), 50, 4000))
-        self.assertTrue(tracker.fits(Booking(('long',), 50, 4000)))
+        tracker.add('a', Reservation(('long',), 50, 4000))
+        self.assertTrue(tracker.fits(Reservation(('long',), 50, 4000)))
         self.assertEqual(0, tracker.permille)
--- a/tests/test_backendset.py
+++ b/tests/test_backendset.py
@@ -15,7 +15,7 @@
 
     def setUp(self):
         self.backends = BackendSet(EntryCount(1))
-        self.backends.note_store(answered=True, now=0)
+        self.backends.record_store_result(answered=True, now=0)
 
     def names(self):
         return sorted(each.name for each in self.backends.usable('s'))
@@ -35,8 +35,8 @@
         """
         for name in ('e1', 'e2'):
             self.backends.take(make_record(name), 100)
-        self.backends.note_store(answered=False, now=101)
-        self.backends.note_store(answered=True, now=106)
+        self.backends.record_store_result(answered=False, now=101)
+        self.backends.record_store_result(answered=True, now=106)
         for name in ('e1', 'e2'):
             self.assertFalse(self.backends.remove(name, 106))
         self.assertEqual(['e1', 'e2'], self.names())
@@ -47,14 +47,14 @@
 
     def test_nothing_is_dropped_while_the_service_is_away(self):
         self.backends.take(make_record(), 100)
-        self.backends.note_store(answered=False, now=101)
+        self.backends.record_store_result(answered=False, now=101)
         self.assertFalse(self.backends.remove('e1', 102))
         self.assertEqual([], self.backends.settle(200))
         self.assertEqual(['e1'], self.names())
 
     def test_every_source_can_stop_new_work(self):
         self.backends.take(make_record('e1', draining=True), 100)
-        self.backends.take(make_record('e2'), 100).take_state(
+        self.backends.take(make_record('e2'), 100).update_state(
             EngineState(leaving=True), 100
         )
         self.backends.take(make_record('e3', domain='d2'), 100)
@@ -113,18 +113,18 @@
         would look ever fuller and get no more work.
         """
         found = self.backends.take(make_record(), 100)
-        found.take_state(EngineState(running=7, total_tokens=9), 100)
+        found.update_state(EngineState(running=7, total_tokens=9), 100)
         found.unreported_tokens = 5000
-        found.drop_old_state(102)
+        found.drop_stale_state(102)
         self.assertIsNotNone(found.state)
-        found.drop_old_state(104)
+        found.drop_stale_state(104)
         self.assertIsNone(found.state)
         self.assertEqual(0, found.unreported_tokens)
 
     def test_old_report_of_a_leave_still_counts(self):
         found = self.backends.take(make_record(), 100)
-        found.take_state(EngineState(leaving=True), 100)
-        found.drop_old_state(200)
+        found.update_state(EngineState(leaving=True), 100)
+        found.drop_stale_state(200)
         self.assertEqual([], self.names())
 
     def test_announced_engines_while_nothing_can_register(self):
@@ -133,11 +133,11 @@
         The new ones cannot register, and the old ones are taken away one by
         one: after a while entries would know hardly any.
         """
-        self.backends.note_store(answered=False, now=100)
+        self.backends.record_store_result(answered=False, now=100)
         self.assertTrue(self.backends.announce(make_record(), 101))
         self.assertFalse(self.backends.announce(make_record(), 102))
         self.assertEqual(['e1'], self.names())
-        self.backends.note_store(answered=True, now=110)
+        self.backends.record_store_result(answered=True, now=110)
         found = self.backends.take(make_record(boot=3), 111)
         self.assertIsNone(found.found_at)
         self.assertEqual([], self.backends.settle(120))
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -10,17 +10,17 @@
 
 from primrosewood.backendset import Backend, BackendRecord, EngineState
 from primrosewood.balancing import (
-    BookedTokens,
-    Booking,
-    LeastPressed,
-    Placing,
+    ReservedTokens,
+    Reservation,
+    LeastCostBalancer,
+    PlacementContext,
 )
-from primrosewood.directcalls import Leg
+from primrosewood.directcalls import BackendAttempt
 from primrosewood.shares import ColdLimit, EntryCount
 
 MEMORY = 34_300
-DRAFT = BookedTokens(3079, 940)
-SHORT = BookedTokens(2500, 16)
+DRAFT = ReservedTokens(3079, 940)
+SHORT = ReservedTokens(2500, 16)
 
 
 def make_backend(name, domain='d1', **fields):
@@ -29,14 +29,14 @@
 
 
 def make_placing(tokens=DRAFT):
-    return Placing('d1', 0.0, tokens, MEMORY, 1.8)
+    return PlacementContext('d1', 0.0, tokens, MEMORY, 1.8)
 
 
 class LeastPressedTest(unittest.TestCase):
     """Where a call goes."""
 
     def setUp(self):
-        self.balancer = LeastPressed(random.Random(1))
+        self.balancer = LeastCostBalancer(random.Random(1))
 
     def choose(self, backends, tokens=DRAFT):
         return self.balancer.choose(backends, make_placing(tokens)).name
@@ -48,11 +48,11 @@
         1.5 s: four of 32 slots looked like an idle engine.
         """
         near = make_backend('near')
-        near.take_state(
+        near.update_state(
             EngineState(queued=4, unread_tokens=12_000, total_tokens=MEMORY), 0
         )
         far = make_backend('far', 'd2')
-        far.take_state(EngineState(running=6, total_tokens=MEMORY), 0)
+        far.update_state(EngineState(running=6, total_tokens=MEMORY), 0)
         self.assertEqual('far', self.choose([near, far]))
 
     def test_near_one_when_both_are_idle(self):
@@ -63,9 +63,11 @@
     def test_full_memory_is_avoided(self):
         """An engine whose memory is nearly full preempts a running stream."""
         full = make_backend('full')
-        full.take_state(EngineState(used_tokens=32_000, total_tokens=MEMORY), 0)
+        full.update_state(
+            EngineState(used_tokens=32_000, total_tokens=MEMORY), 0
+        )
         busy = make_backend('busy', 'd2')
-        busy.take_state(
+        busy.update_state(
             EngineState(running=8, used_tokens=15_000, total_tokens=MEMORY), 0
         )
         self.assertEqual('busy', self.choose([full, busy]))
@@ -74,10 +76,10 @@
         """A burst comes faster than reports: own calls must count at once."""
         backends = [make_backend(f'e{number}') for number in range(5)]
         for backend in backends:
-            backend.take_state(EngineState(total_tokens=MEMORY), 0)
+            backend.update_state(EngineState(total_tokens=MEMORY), 0)
         for _ in range(20):
             chosen = self.balancer.choose(backends, make_placing())
-            Booking(Leg(chosen), DRAFT)
+            Reservation(BackendAttempt(chosen), DRAFT)
         self.assertEqual([4] * 5, [each.open_calls for each in backends])
 
     def test_short_deadline_behind_long_prompts(self):
@@ -86,11 +88,11 @@
         The short answer's first event is due after 1.5 s.
         """
         behind = make_backend('behind')
-        behind.take_state(
+        behind.update_state(
             EngineState(running=3, unread_tokens=9000, total_tokens=MEMORY), 0
         )
         beside = make_backend('beside')
-        beside.take_state(
+        beside.update_state(
             EngineState(
                 running=4,
                 generating=4,
@@ -112,7 +114,7 @@
         slow = make_backend('slow')
         for _ in range(10):
             chosen = self.balancer.choose([fast, slow], make_placing())
-            Booking(Leg(chosen), DRAFT)
+            Reservation(BackendAttempt(chosen), DRAFT)
             for backend, pace in ((fast, 0.007), (slow, 0.0091)):
                 state = EngineState(
                     running=backend.open_calls,
@@ -121,7 +123,7 @@
                     total_tokens=MEMORY,
                     token_seconds=pace,
                 )
-                backend.take_state(state, 0)
+                backend.update_state(state, 0)
                 backend.unread_tokens = 0
         self.assertGreaterEqual(fast.open_calls, slow.open_calls)
         self.assertLessEqual(fast.open_calls, 7)
@@ -148,11 +150,11 @@
 
     def test_release_gives_everything_back(self):
         backend = make_backend('e1')
-        booking = Booking(Leg(backend), DRAFT)
+        reservation = Reservation(BackendAttempt(backend), DRAFT)
         self.assertEqual(3079, backend.unread_tokens)
-        booking.note_event(1.0)
+        reservation.record_event(1.0)
         self.assertEqual(0, backend.unread_tokens)
-        booking.release()
+        reservation.release()
         self.assertEqual((0, 0), (backend.open_calls, backend.open_tokens))
 
 
@@ -170,12 +172,12 @@
         Late is after its fault has ended.
         """
         source = random.Random(seed)
-        balancer = LeastPressed(source)
+        balancer = LeastCostBalancer(source)
         backends = [make_backend(name) for name in ('a', 'b', 'failing')]
         lost, returned = 0, 0
         for tick in range(200):
             now = tick / 5
-            chosen = balancer.choose(backends, Placing('d1', now))
+            chosen = balancer.choose(backends, PlacementContext('d1', now))
             faulty = 5 <= now < 17 and source.random() < 0.45
             if chosen.name == 'failing' and faulty:
                 chosen.record_failure(now)
--- a/tests/test_calllimits.py
+++ b/tests/test_calllimits.py
@@ -40,7 +40,7 @@
             now += self._random.expovariate(demand)
             self._hear(now)
             limit = self._random.choice(self._limits)
-            if not limit.find_wait(now):
+            if not limit.seconds_until_call(now):
                 self._count(limit, now)
                 self.sent.append(now)
                 told = (now + self._told_seconds, len(self.sent), limit)
@@ -104,9 +104,9 @@
         """Guards against entries that never learn that a limit of 0 is over."""
         limit = CallLimit()
         limit.take(0.0, 0, 0)
-        self.assertEqual(10, limit.find_wait(0))
+        self.assertEqual(10, limit.seconds_until_call(0))
         limit.count(1, 10)
-        self.assertEqual(10, limit.find_wait(10))
+        self.assertEqual(10, limit.seconds_until_call(10))
 
     def test_older_news(self):
         limit = CallLimit()
@@ -114,7 +114,7 @@
         self.assertFalse(limit.take(None, 4, 6))
         self.assertEqual(2, limit.rate)
         self.assertTrue(limit.take(None, 6, 6))
-        self.assertEqual(0, limit.find_wait(6))
+        self.assertEqual(0, limit.seconds_until_call(6))
 
 
 class CallLimitsTest(unittest.IsolatedAsyncioTestCase):
@@ -137,18 +137,20 @@
         return self.linked
 
     def wait(self):
-        return self.backend.call_limit.find_wait(self.clock.monotonic())
+        return self.backend.call_limit.seconds_until_call(
+            self.clock.monotonic()
+        )
 
     def name(self, rate):
-        self.limits.note_answer(self.backend, rate, self.clock.monotonic())
+        self.limits.record_answer(self.backend, rate, self.clock.monotonic())
 
     def tell(self, rate, age_ms, calls=0):
-        self.limits.take_told(wire.LimitTold('i-1', rate, age_ms, calls))
+        self.limits.merge_from_peer(wire.LimitTold('i-1', rate, age_ms, calls))
 
     async def test_others_are_told(self):
         self.name(2.0)
         for _ in range(3):
-            self.limits.note_call(self.backend)
+            self.limits.record_call(self.backend)
         await asyncio.sleep(0.05)
         (told,) = self.told
         self.assertEqual(('i-1', 2, 3), (told.endpoint, told.rate, told.calls))
@@ -166,7 +168,7 @@
         """Guards against unlinked entries that each use the whole rate."""
         self.linked = False
         self.name(2.0)
-        self.limits.note_call(self.backend)
+        self.limits.record_call(self.backend)
         await asyncio.sleep(0.05)
         self.assertAlmostEqual(3, self.wait(), delta=0.6)
 
@@ -174,7 +176,7 @@
         """Guards against a limit that old news lifts."""
         before = self.clock.monotonic()
         self.name(2.0)
-        self.limits.note_answer(self.backend, None, before)
+        self.limits.record_answer(self.backend, None, before)
         self.tell(None, age_ms=500)
         self.assertEqual(2, self.backend.call_limit.rate)
 
@@ -183,10 +185,10 @@
         await asyncio.sleep(0.05)
         self.tell(None, age_ms=0)
         self.assertEqual(0, self.wait())
-        self.limits.note_call(self.backend)
+        self.limits.record_call(self.backend)
         await asyncio.sleep(0.05)
         self.assertEqual(1, len(self.told))
 
     async def test_back_end_that_is_not_known_yet(self):
-        self.limits.take_told(wire.LimitTold('i-2', 2.0, 0, 1))
+        self.limits.merge_from_peer(wire.LimitTold('i-2', 2.0, 0, 1))
         self.assertEqual(0, self.wait())
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,7 @@
 
 from primrosewood import gen_wire as wire
 from primrosewood.codec import parse_frame, serialise_frame
-from primrosewood.config import check_document, load_config, make_contexts
+from primrosewood.config import check_document, load_config, make_tls_contexts
 from primrosewood.errors import SettingsInvalidError
 from primrosewood.gen_process import Limits, Listen, TlsSettings
 from primrosewood.linkserver import LinkServer, ServerSide
@@ -95,7 +95,7 @@
 
     async def test_link_under_tls(self):
         """A peer of the same authority is greeted, one without it is not."""
-        server_tls, client_tls = make_contexts(self.tls, self.folder)
+        server_tls, client_tls = make_tls_contexts(self.tls, self.folder)
         load = wire.Load(running=0, queued=0, limit=1)
         welcome = wire.Welcome('e1', 'i', 'd', load)
         side = ServerSide(
@@ -115,4 +115,4 @@
                     self.fail('an unknown authority was trusted')
 
     def test_no_certificate_no_contexts(self):
-        self.assertEqual((None, None), make_contexts(None, self.folder))
+        self.assertEqual((None, None), make_tls_contexts(None, self.folder))
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from primrosewood.config import load_node
+from primrosewood.config import load_node_settings
 from primrosewood.errors import SettingsInvalidError
 
 _ROOT = Path(__file__).resolve().parents[1]
@@ -57,7 +57,7 @@
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder) / 'node.json'
             file.write_text(fill(template, fields))
-            return load_node(str(file), role)
+            return load_node_settings(str(file), role)
 
     def test_templates_give_settings(self):
         entry = self.load('entry', _FIELDS)
--- a/tests/test_enginekeeper.py
+++ b/tests/test_enginekeeper.py
@@ -11,7 +11,7 @@
 from primrosewood.enginekeeper import EngineKeeper
 from primrosewood.errors import BackendCutError, ErrorKind, NotRunError
 from primrosewood.metrics import Metrics
-from primrosewood.movableengine import EnginePlace, EngineReading
+from primrosewood.movableengine import EngineLocation, EngineReading
 from primrosewood.moves import EngineRun
 
 ROOM = wire.RoomTold([wire.EngineRoom('b:1', 'd1', 20_000)])
@@ -92,14 +92,14 @@
         self.server = FakeServer()
         self.keeper = EngineKeeper(
             self.engine,
-            EnginePlace('s', 'd1'),
+            EngineLocation('s', 'd1'),
             SystemClock(),
             Metrics(),
             Random(1),
         )
         self.keeper.server = self.server
         self.server.keeper = self.keeper
-        for work in (self.keeper.run(), self.keeper.run_naming()):
+        for work in (self.keeper.run(), self.keeper.run_identification()):
             self.addCleanup(asyncio.create_task(work).cancel)
 
     async def wait_for(self, condition):
@@ -307,7 +307,7 @@
         with mock.patch('primrosewood.enginekeeper._NAME_SECONDS', 60):
             await self.lose_engine()
             await asyncio.sleep(0.1)
-            waiting = asyncio.create_task(self.keeper.wait_named(5))
+            waiting = asyncio.create_task(self.keeper.wait_identified(5))
             self.engine.gone = False
             async with asyncio.timeout(1):
                 await waiting
--- a/tests/test_enginepace.py
+++ b/tests/test_enginepace.py
@@ -5,7 +5,7 @@
 from primrosewood.enginepace import (
     PROMPT_TOKENS_A_SECOND,
     ReadingPace,
-    TokenPace,
+    TokenTimeEstimator,
 )
 from primrosewood.expectedends import ExpectedEnds
 from primrosewood.moves import EngineRun
@@ -16,7 +16,7 @@
 
     def test_follows_the_generations(self):
         """Twenty readings a second, four tokens an event, ten a token."""
-        pace = TokenPace()
+        pace = TokenTimeEstimator()
         for step in range(200):
             produced = step * 5 // 4 * 4
             runs = [EngineRun(name, 3000 + produced, 1) for name in ('a', 'b')]
@@ -24,7 +24,7 @@
         self.assertAlmostEqual(0.01, pace.seconds, delta=0.001)
 
     def test_says_nothing_of_an_idle_engine(self):
-        pace = TokenPace()
+        pace = TokenTimeEstimator()
         pace.observe([], 0)
         pace.observe([EngineRun('a', 3000, 1)], 0.05)
         self.assertEqual(0, pace.seconds)
--- a/tests/test_enginereports.py
+++ b/tests/test_enginereports.py
@@ -27,7 +27,7 @@
         report = self.reports.make(entries)
         due = self.reports.is_due(report, now)
         if due:
-            self.reports.note_told(report, now)
+            self.reports.record_sent(report, now)
         return due
 
     def test_announced_call_counts_until_the_engine_shows_it(self):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -5,7 +5,7 @@
 from primrosewood.invariants import (
     AnswerRecord,
     History,
-    OutPeriod,
+    OutOfServicePeriod,
     RunRecord,
     SettingRecord,
     check_history,
@@ -31,7 +31,7 @@
                 AnswerRecord('q', kind='overloaded', ran='no'),
             ],
             runs=[_run(key='k'), _run(at=21.0, domain='d2')],
-            outs=[OutPeriod('d1', 10.5, 30.0, 1.0)],
+            outs=[OutOfServicePeriod('d1', 10.5, 30.0, 1.0)],
             settings=[SettingRecord('p', 't', 1), SettingRecord('p', 't', 2)],
         )
         self.assertEqual([], check_history(history))
@@ -58,7 +58,7 @@
 
     def test_new_work_while_out(self):
         for name in ('d1', 'e1'):
-            out = OutPeriod(name, 5.0, 20.0, 1.0)
+            out = OutOfServicePeriod(name, 5.0, 20.0, 1.0)
             self.assert_breaks('5.00 s out', runs=[_run()], outs=[out])
 
     def test_setting_that_went_back(self):
--- a/tests/test_logstory.py
+++ b/tests/test_logstory.py
@@ -8,7 +8,7 @@
 
 from primrosewood.ctl import Ctl
 from primrosewood.loglines import count_outcomes, parse_lines
-from primrosewood.logstory import tell_story
+from primrosewood.requesttrace import tell_story
 
 
 def line(process, second, event, **pairs):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -118,24 +118,24 @@
     def setUp(self):
         self.fleet = Fleet('entry-1', SettingsStore(), SystemClock(), Timing())
         for name in ('e1', 'e2'):
-            self.fleet.take_member(make_member(name))
+            self.fleet.apply_member(make_member(name))
         self.fleet.rebuild()
 
     def state(self, name):
         return self.fleet.views[name].vm_state
 
     def test_new_vm_that_the_list_does_not_show_yet(self):
-        self.fleet.take_vms({'e1': VmState.live})
+        self.fleet.apply_vm_list({'e1': VmState.live})
         self.assertEqual(VmState.unseen, self.state('e2'))
 
     def test_vm_that_vanishes_from_the_list(self):
-        self.fleet.take_vms({'e1': VmState.live, 'e2': VmState.live})
-        self.fleet.take_vms({'e1': VmState.live})
+        self.fleet.apply_vm_list({'e1': VmState.live, 'e2': VmState.live})
+        self.fleet.apply_vm_list({'e1': VmState.live})
         self.assertEqual(VmState.gone, self.state('e2'))
-        self.fleet.take_vms({'e1': VmState.live, 'e2': VmState.live})
+        self.fleet.apply_vm_list({'e1': VmState.live, 'e2': VmState.live})
         self.assertEqual(VmState.live, self.state('e2'))
 
     def test_dead_members_are_forgotten(self):
-        self.fleet.take_pair('primrosewood/members/e2', None)
+        self.fleet.apply_pair('primrosewood/members/e2', None)
         self.fleet.rebuild()
         self.assertEqual(['e1'], list(self.fleet.views))
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -12,7 +12,7 @@
     EngineRun,
     MoveNotice,
     MoveTarget,
-    NoticeBoard,
+    MoveNotices,
     choose_target,
     plan_moves,
 )
@@ -82,7 +82,7 @@
     """Notices and cuts come in either order."""
 
     def setUp(self):
-        self.board = NoticeBoard()
+        self.board = MoveNotices()
         self.notice = MoveNotice('r', 'a:1', 'h', 'b:1')
 
     async def test_notice_first(self):
--- a/tests/test_platform_endpoint_stop.py
+++ b/tests/test_platform_endpoint_stop.py
@@ -8,7 +8,7 @@
 from primrosewood.platform.endpoint import EndpointNode
 from standins.backends import EngineStandIn
 
-from .deployment import GUIDE, Deployment
+from .deployment import GENERATION_HEADERS, Deployment
 
 _STOP_SECONDS = 2
 # With this much of the stop gone a copy of a stream begins, and its last part
@@ -19,7 +19,7 @@
 _EVENTS = 150
 # The process has read of a stream by then.
 _SEEN_EVENTS = 20
-_HEADERS = {**GUIDE, 'Primrosewood-Deadline-Ms': '15000'}
+_HEADERS = {**GENERATION_HEADERS, 'Primrosewood-Deadline-Ms': '15000'}
 
 
 class _SlowEngine(EngineStandIn):
--- a/tests/test_platform_engines.py
+++ b/tests/test_platform_engines.py
@@ -8,7 +8,7 @@
 
 from primrosewood.backendset import Backend, BackendRecord
 from primrosewood.clock import SystemClock
-from primrosewood.directcalls import DirectCall, Leg, Resumption
+from primrosewood.directcalls import DirectCall, BackendAttempt, Resumption
 from primrosewood.errors import BackendCutError, NotRunError
 from primrosewood.platform.engines import HttpTransport
 from primrosewood.routes import Route, RouteKind, Target
@@ -78,7 +78,9 @@
                 **fields,
             },
         )
-        async with self.transport.send(call, Leg(backend, resumption)) as reply:
+        async with self.transport.send(
+            call, BackendAttempt(backend, resumption)
+        ) as reply:
             return b''.join([part async for part in reply.parts()])
 
     async def test_whole_answer(self):
--- a/tests/test_platform_explain.py
+++ b/tests/test_platform_explain.py
@@ -16,9 +16,9 @@
 
 from primrosewood.loglines import parse_lines
 from primrosewood.logs import configure_logs
-from primrosewood.logstory import tell_story
+from primrosewood.requesttrace import tell_story
 
-from .deployment import GUIDE, Deployment
+from .deployment import GENERATION_HEADERS, Deployment
 
 
 class ExplainTest(Deployment):
@@ -56,7 +56,7 @@
         for engine in self.engines.values():
             engine.events = 20
         reading = asyncio.create_task(
-            self.call('POST', '/guide/1', headers=GUIDE)
+            self.call('POST', '/guide/1', headers=GENERATION_HEADERS)
         )
         await asyncio.sleep(0.2)
         for engine in self.engines.values():
@@ -82,7 +82,7 @@
         for engine in self.engines.values():
             engine.events = 1000
         reading = asyncio.create_task(
-            self.call('POST', '/guide/1', headers=GUIDE)
+            self.call('POST', '/guide/1', headers=GENERATION_HEADERS)
         )
         await asyncio.sleep(0.3)
         for engine in self.engines.values():
@@ -99,7 +99,9 @@
 
     async def has_reports(self):
         """Tell whether both engines have reported to the entry."""
-        await self.call('POST', '/guide/1', name='ef56', headers=GUIDE)
+        await self.call(
+            'POST', '/guide/1', name='ef56', headers=GENERATION_HEADERS
+        )
         lines = self.grep('event=sent request=ef56.*report_age=')
         reported = {re.search('endpoint=[^ ]+', line)[0] for line in lines}
         return len(reported) == len(self.engines)
@@ -128,7 +130,7 @@
 
     async def test_outcome_that_nobody_knows(self):
         """A counter complains: was the reorder placed or not?"""
-        self.service.spoil = lambda request: request.transport.abort()
+        self.service.inject_fault = lambda request: request.transport.abort()
         self.assertEqual(502, await self.status('POST', '/issue/', data=b'x'))
         doubtful = self.grep('request=ab12.*event=send_failed') or self.grep(
             'event=send_failed.*request=ab12'
@@ -145,7 +147,9 @@
         )
 
     async def test_no_secret_in_any_line(self):
-        await self.call('POST', '/guide/1', headers=GUIDE, data=b'our prompt')
+        await self.call(
+            'POST', '/guide/1', headers=GENERATION_HEADERS, data=b'our prompt'
+        )
         await self.call(
             'GET', '/lookup/', headers={'Authorization': 'Bearer z9'}
         )
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -67,10 +67,11 @@
         name = 'Primrosewood-Token-Usage'
         size = parse_size([(name, '1460,80')])
         self.assertEqual(
-            (1460, 80, 0), (size.prompt_tokens, size.most_tokens, size.hint)
+            (1460, 80, 0),
+            (size.prompt_tokens, size.max_answer_tokens, size.hint),
         )
         hinted = parse_size([(name, '1,2'), ('Primrosewood-Length-Hint', '7')])
         self.assertEqual(7, hinted.hint)
         self.assertIsNone(parse_size([]))
         self.assertIsNone(parse_size([(name, 'many,80')]))
-        self.assertEqual(0, parse_size([(name, '5')]).most_tokens)
+        self.assertEqual(0, parse_size([(name, '5')]).max_answer_tokens)
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -7,7 +7,7 @@
 
 from standins.backends import ServiceStandIn
 
-from .deployment import GUIDE, KEY, Deployment, make_table
+from .deployment import GENERATION_HEADERS, KEY, Deployment, make_table
 
 NAMED = b'Primrosewood-Attempt-Id: ef56\r\n\r\n'
 
@@ -16,7 +16,9 @@
     """Requests of all kinds, answered whole."""
 
     async def test_all_kinds(self):
-        response, body = await self.call('POST', '/guide/1', headers=GUIDE)
+        response, body = await self.call(
+            'POST', '/guide/1', headers=GENERATION_HEADERS
+        )
         self.assertEqual(200, response.status)
         events = [f'id: {n}\ndata: ab12\n\n' for n in range(1, 21)]
         self.assertEqual(''.join(events).encode(), body)
@@ -182,7 +184,7 @@
         for engine in self.engines.values():
             engine.events = events
         reading = asyncio.create_task(
-            self.call('POST', '/guide/1', headers=GUIDE)
+            self.call('POST', '/guide/1', headers=GENERATION_HEADERS)
         )
         async with asyncio.timeout(5):
             while not any(engine.ran for engine in self.engines.values()):
@@ -262,7 +264,8 @@
         self.assertTrue(await self.is_ready())
         self.assertEqual(200, await self.status('GET', '/lookup/'))
         self.assertEqual(
-            200, await self.status('POST', '/guide/', headers=GUIDE)
+            200,
+            await self.status('POST', '/guide/', headers=GENERATION_HEADERS),
         )
 
     async def test_engine_that_cannot_register(self):
@@ -279,7 +282,7 @@
             engine.refusing = True
 
         async def runs_there():
-            headers = {**GUIDE, 'Primrosewood-Deadline-Ms': '2000'}
+            headers = {**GENERATION_HEADERS, 'Primrosewood-Deadline-Ms': '2000'}
             status = await self.status('POST', '/guide/', headers=headers)
             return status == 200 and bool(self.engines['i-new'].ran)
 
--- a/tests/test_platform_stopping.py
+++ b/tests/test_platform_stopping.py
@@ -11,7 +11,7 @@
 from primrosewood.platform import entry
 from primrosewood.platform.entry import EntryNode
 
-from .deployment import GUIDE, KEY, LIMITS, Deployment
+from .deployment import GENERATION_HEADERS, KEY, LIMITS, Deployment
 
 # The stop of these tests lasts 4 s; the balancer notices it after 2.6 s.
 _LATE_SECONDS = 2.85
@@ -26,7 +26,9 @@
             engine.events = 300
         # A reader from before the stop, without whom the entry would end.
         reading = asyncio.create_task(
-            self.call('POST', '/guide/', name='ff00', headers=GUIDE)
+            self.call(
+                'POST', '/guide/', name='ff00', headers=GENERATION_HEADERS
+            )
         )
         self.stack.push_async_callback(self.end_reading, reading)
         await self.wait_for(self.has_run)
@@ -43,7 +45,7 @@
 
     async def ask(self, name, hint):
         headers = {
-            **GUIDE,
+            **GENERATION_HEADERS,
             'Primrosewood-Token-Usage': '1000,2000',
             'Primrosewood-Length-Hint': str(hint),
         }
@@ -84,7 +86,7 @@
         """Ask for a short answer whose first event comes 0.2 s before the end."""
         for engine in self.engines.values():
             engine.pause = 0.5
-        headers = {**GUIDE, 'Primrosewood-Token-Usage': '1000,20'}
+        headers = {**GENERATION_HEADERS, 'Primrosewood-Token-Usage': '1000,20'}
         asking = asyncio.create_task(
             self.call('POST', '/guide/', name='ab12', headers=headers)
         )
@@ -127,7 +129,7 @@
         for engine in self.engines.values():
             engine.events = 300
         headers = {
-            **GUIDE,
+            **GENERATION_HEADERS,
             'Primrosewood-Token-Usage': '1000,2000',
             'Primrosewood-Length-Hint': '100',
         }
@@ -178,7 +180,7 @@
         """A guide waits for its first event when its entry ends."""
         for engine in self.engines.values():
             engine.pause = 30
-        response = await self.ask_across_the_stop('/guide/', GUIDE)
+        response = await self.ask_across_the_stop('/guide/', GENERATION_HEADERS)
         self.assertEqual(502, response.status)
 
     async def test_process_ends_by_itself(self):
@@ -190,7 +192,7 @@
         for engine in self.engines.values():
             engine.events = 5000
         reading = asyncio.create_task(
-            self.call('POST', '/guide/', headers=GUIDE)
+            self.call('POST', '/guide/', headers=GENERATION_HEADERS)
         )
         await asyncio.sleep(0.3)
         told = []
@@ -219,7 +221,9 @@
             engine.events = 150
         # Keeps the entry from ending early.
         self.reading = asyncio.create_task(
-            self.call('POST', '/guide/', name='ff00', headers=GUIDE)
+            self.call(
+                'POST', '/guide/', name='ff00', headers=GENERATION_HEADERS
+            )
         )
         await asyncio.sleep(0.3)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -8,10 +8,10 @@
 from unittest import mock
 
 from primrosewood.backendset import BackendRecord, BackendSet
-from primrosewood.balancing import LeastPressed
+from primrosewood.balancing import LeastCostBalancer
 from primrosewood.callplacement import (
     CallPlacement,
-    PlacementTools,
+    PlacementDependencies,
     RelayRules,
 )
 from primrosewood.clock import SystemClock
@@ -24,8 +24,8 @@
     RequestFailedError,
 )
 from primrosewood.metrics import Metrics
-from primrosewood.moves import MoveNotice, NoticeBoard
-from primrosewood.relay import Relay, RelayTools
+from primrosewood.moves import MoveNotice, MoveNotices
+from primrosewood.relay import Relay, RelayDependencies
 from primrosewood.routes import (
     EngineTraits,
     Route,
@@ -62,11 +62,11 @@
 
     def __init__(self):
         self.script = deque()
-        self.legs = []
+        self.backend_attempts = []
 
     @asynccontextmanager
-    async def send(self, call, leg):
-        self.legs.append(leg)
+    async def send(self, call, backend_attempt):
+        self.backend_attempts.append(backend_attempt)
         outcome = self.script.popleft()
         if isinstance(outcome, Exception):
             raise outcome
@@ -107,23 +107,23 @@
         for name in ('e1', 'e2', 'e3'):
             record = BackendRecord(name, 's', f'{name}:80', 'd1', 8)
             self.backends.take(record, self.clock.monotonic())
-        self.notices = NoticeBoard()
+        self.notices = MoveNotices()
         self.transport = ScriptedTransport()
         self.sink = Sink()
         placement = CallPlacement(
-            PlacementTools(
+            PlacementDependencies(
                 rules=RelayRules('d1'),
                 tables=tables,
                 backends=self.backends,
                 entries=entries,
-                balancer=LeastPressed(random.Random(1)),
+                balancer=LeastCostBalancer(random.Random(1)),
                 random=random.Random(1),
                 clock=self.clock,
                 metrics=Metrics(),
             )
         )
         self.relay = Relay(
-            RelayTools(
+            RelayDependencies(
                 placement, self.notices, self.transport, self.clock, Metrics()
             )
         )
@@ -175,7 +175,10 @@
             REFUSED,
             ScriptedReply(b'a'),
         )
-        names = {leg.backend.name for leg in self.transport.legs}
+        names = {
+            backend_attempt.backend.name
+            for backend_attempt in self.transport.backend_attempts
+        }
         self.assertEqual({'e1', 'e2', 'e3'}, names)
 
     async def test_non_idempotent_call_in_doubt_is_not_sent_again(self):
@@ -187,7 +190,7 @@
         call = self.make_call(RouteKind.non_idempotent, max_endpoints=3)
         kind = await self.fail(call, CUT, ScriptedReply(b'a'))
         self.assertEqual(ErrorKind.outcome_unknown, kind)
-        self.assertEqual(1, len(self.transport.legs))
+        self.assertEqual(1, len(self.transport.backend_attempts))
 
     async def test_back_end_that_hangs_is_set_aside(self):
         """A service takes calls and never answers some of them.
@@ -199,14 +202,17 @@
         kind = await self.fail(call, HANG)
         self.assertEqual(ErrorKind.deadline_exceeded, kind)
         now = self.clock.monotonic()
-        hanging = self.transport.legs[0].backend
+        hanging = self.transport.backend_attempts[0].backend
         self.assertGreater(hanging.suspect_until, now)
         for _ in range(10):
             self.sink = Sink()
             await self.answer(
                 self.make_call(RouteKind.non_idempotent), ScriptedReply(b'a')
             )
-        names = [leg.backend.name for leg in self.transport.legs[1:]]
+        names = [
+            backend_attempt.backend.name
+            for backend_attempt in self.transport.backend_attempts[1:]
+        ]
         self.assertNotIn(hanging.name, names)
 
     async def test_caller_that_leaves_early_says_nothing_of_a_back_end(self):
@@ -216,7 +222,7 @@
         await asyncio.sleep(0.1)
         calling.cancel()
         await asyncio.wait([calling])
-        self.assertEqual(0, self.transport.legs[0].backend.failing)
+        self.assertEqual(0, self.transport.backend_attempts[0].backend.failing)
 
     async def test_address_where_another_back_end_answers(self):
         """A call meets another engine at an old address, and goes elsewhere.
@@ -226,13 +232,16 @@
         for _ in range(3):
             self.sink = Sink()
             elsewhere = MisdirectedError(ErrorKind.overloaded)
-            script = [] if self.transport.legs else [elsewhere]
+            script = [] if self.transport.backend_attempts else [elsewhere]
             await self.answer(
                 self.make_call(RouteKind.non_idempotent),
                 *script,
                 ScriptedReply(b'a'),
             )
-        names = [leg.backend.name for leg in self.transport.legs]
+        names = [
+            backend_attempt.backend.name
+            for backend_attempt in self.transport.backend_attempts
+        ]
         self.assertNotIn(names[0], names[1:])
         self.assertEqual(2, len(self.backends.usable('s')))
 
@@ -251,7 +260,7 @@
         call = self.make_call(RouteKind.idempotent, max_endpoints=2)
         kind = await self.fail(call, CUT, CUT, ScriptedReply(b'a'))
         self.assertEqual(ErrorKind.outcome_unknown, kind)
-        self.assertEqual(2, len(self.transport.legs))
+        self.assertEqual(2, len(self.transport.backend_attempts))
 
     async def test_half_an_answer_is_replaced_by_a_whole_one(self):
         call = self.make_call(RouteKind.idempotent, max_endpoints=2)
@@ -281,7 +290,7 @@
             self.backends.find(name).leaving = True
         kind = await self.fail(self.make_call(RouteKind.idempotent))
         self.assertEqual(ErrorKind.no_endpoint, kind)
-        self.assertEqual([], self.transport.legs)
+        self.assertEqual([], self.transport.backend_attempts)
 
     async def test_all_have_got_what_they_take(self):
         """Guards against callers who wait, or return before there is room."""
@@ -295,7 +304,7 @@
             await self.answer(call)
         self.assertEqual(ErrorKind.overloaded, caught.exception.kind)
         self.assertAlmostEqual(2.25, caught.exception.retry_seconds, delta=0.3)
-        self.assertEqual([], self.transport.legs)
+        self.assertEqual([], self.transport.backend_attempts)
 
 
 class StreamTest(_Cases):
@@ -326,8 +335,8 @@
         posting = self.transport.send
 
         @asynccontextmanager
-        async def send(call, leg):
-            async with posting(call, leg) as reply:
+        async def send(call, backend_attempt):
+            async with posting(call, backend_attempt) as reply:
                 self.notices.post(MoveNotice('ab12', 'e1:80', 'h', 'e2:80'))
                 yield reply
 
@@ -335,8 +344,8 @@
         await self.relay.answer(call, self.sink)
         events = b''.join(map(make_event, (1, 2, 3)))
         self.assertEqual(events, self.sink.body)
-        resumption = self.transport.legs[1].resumption
-        self.assertEqual('e2', self.transport.legs[1].backend.name)
+        resumption = self.transport.backend_attempts[1].resumption
+        self.assertEqual('e2', self.transport.backend_attempts[1].backend.name)
         self.assertEqual(2, resumption.last_event)
         self.assertEqual('h', resumption.handle)
 
@@ -350,7 +359,7 @@
             call, ScriptedReply(make_event(1), CUT), ScriptedReply()
         )
         self.assertEqual(ErrorKind.generation_lost, kind)
-        self.assertEqual(1, len(self.transport.legs))
+        self.assertEqual(1, len(self.transport.backend_attempts))
 
     async def test_missing_events_end_the_stream(self):
         call = self.make_call(RouteKind.streaming)
@@ -364,8 +373,8 @@
         call = self.make_call(RouteKind.streaming)
 
         @asynccontextmanager
-        async def send(_call, leg):
-            if leg.resumption is not None:
+        async def send(_call, backend_attempt):
+            if backend_attempt.resumption is not None:
                 raise REFUSED
             self.notices.post(MoveNotice('ab12', 'e1:80', 'h', 'e2:80'))
             yield ScriptedReply(make_event(1), CUT)
@@ -415,7 +424,7 @@
         )
         await self.answer(call, CUT, ScriptedReply(make_event(1)))
         self.assertEqual(make_event(1), self.sink.body)
-        first, second = self.transport.legs
+        first, second = self.transport.backend_attempts
         self.assertNotEqual(first.backend.name, second.backend.name)
         self.assertIsNone(second.after_event)
 
@@ -434,7 +443,7 @@
         )
         events = b''.join(map(make_event, (1, 2, 3)))
         self.assertEqual(events, self.sink.body)
-        self.assertEqual(2, self.transport.legs[1].after_event)
+        self.assertEqual(2, self.transport.backend_attempts[1].after_event)
 
     async def test_begun_anew_at_no_more_endpoints_than_allowed(self):
         call = self.make_call(
@@ -442,7 +451,7 @@
         )
         kind = await self.fail(call, CUT, CUT, ScriptedReply(make_event(1)))
         self.assertEqual(ErrorKind.outcome_unknown, kind)
-        self.assertEqual(2, len(self.transport.legs))
+        self.assertEqual(2, len(self.transport.backend_attempts))
 
     async def test_log_tells_what_made_a_stream_late(self):
         """Callers complain of late answers: was it the start or a pause?"""
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -5,7 +5,7 @@
 import unittest
 from pathlib import Path
 
-from primrosewood.config import load_node
+from primrosewood.config import load_node_settings
 from primrosewood.reload import SettingsReloader
 
 from .processes.test_platform import make_settings
@@ -36,7 +36,7 @@
         )
 
     def load(self):
-        return load_node(str(self.file), 'entry')
+        return load_node_settings(str(self.file), 'entry')
 
     def write(self, settings):
         self.file.write_text(json.dumps(settings))
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -17,7 +17,7 @@
 def make_view(number, running=0, limit=10, memory=0):
     member = MemberRecord(f'e{number}', 'v', 't', 's', 'd', 'i', 'ws://x')
     view = EndpointView(member, linked=True)
-    view.take_load(Load(running, 0, limit, memory))
+    view.update_load(Load(running, 0, limit, memory))
     return view
 
 
@@ -44,7 +44,7 @@
         view = make_view(0, running=2)
         view.offered = 3
         self.assertEqual(0.5, view.pressure)
-        view.take_load(Load(running=4, queued=0, limit=10))
+        view.update_load(Load(running=4, queued=0, limit=10))
         self.assertEqual(0.4, view.pressure)
 
     def test_entries_with_same_view_choose_different_endpoints(self):
@@ -69,7 +69,7 @@
         first = policy.choose(usable, work).endpoint
         again = policy.choose(usable, work)
         self.assertEqual((first, 'prefix'), (again.endpoint, again.why))
-        first.take_load(Load(running=9, queued=0, limit=10))
+        first.update_load(Load(running=9, queued=0, limit=10))
         self.assertIsNot(first, policy.choose(usable, work).endpoint)
 
     def test_prefix_of_a_removed_endpoint(self):
--- a/tests/test_sharedreader.py
+++ b/tests/test_sharedreader.py
@@ -112,7 +112,7 @@
             clock=SystemClock(),
             random=Random(len(self.held)),
             send=self.bus.connect(name),
-            note_answered=notes.append,
+            report_available=notes.append,
         )
         task = asyncio.create_task(self.bus.readers[name].run())
         self.addCleanup(task.cancel)
--- a/tests/test_stop_bounds.py
+++ b/tests/test_stop_bounds.py
@@ -8,7 +8,7 @@
 from primrosewood.stopping import StopWindow
 from primrosewood.timers import TimerGroup
 
-from .deployment import GUIDE, Deployment
+from .deployment import GENERATION_HEADERS, Deployment
 from .test_stopping import make_call
 
 
@@ -64,7 +64,7 @@
         self.stop.set()
         await asyncio.sleep(2)
         headers = {
-            **GUIDE,
+            **GENERATION_HEADERS,
             'Primrosewood-Token-Usage': '1000,2000',
             'Primrosewood-Deadline-Ms': '500',
         }
@@ -85,7 +85,9 @@
         its caller got a part of an answer in place of an error.
         """
         reading = asyncio.create_task(
-            self.call('POST', '/guide/', name='ff00', headers=GUIDE)
+            self.call(
+                'POST', '/guide/', name='ff00', headers=GENERATION_HEADERS
+            )
         )
         for engine in self.engines.values():
             engine.events = 300
@@ -94,7 +96,7 @@
         await asyncio.sleep(2.8)
         for engine in self.engines.values():
             engine.pause = 0.1
-        headers = {**GUIDE, 'Primrosewood-Token-Usage': '1000,20'}
+        headers = {**GENERATION_HEADERS, 'Primrosewood-Token-Usage': '1000,20'}
         asking = asyncio.create_task(
             self.call('POST', '/guide/', name='ab12', headers=headers)
         )
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -60,14 +60,14 @@
         it comes, however little time is left.
         """
         label = make_call(size=GenerationSize(2200, 40))
-        self.assertFalse(self.window.must_hold(label, 99))
+        self.assertFalse(self.window.must_buffer(label, 99))
         self.window.begin(100)
-        self.assertFalse(self.window.must_hold(label, 99))
-        self.assertFalse(self.window.must_hold(label, 102.5))
+        self.assertFalse(self.window.must_buffer(label, 99))
+        self.assertFalse(self.window.must_buffer(label, 102.5))
         for judged in (102.6, 105.8, 107.4):
-            self.assertTrue(self.window.must_hold(label, judged))
+            self.assertTrue(self.window.must_buffer(label, judged))
         plain = make_call(size=None, route=PLAIN)
-        self.assertFalse(self.window.must_hold(plain, 107))
+        self.assertFalse(self.window.must_buffer(plain, 107))
 
     def test_plain_calls(self):
         self.window.begin(100)
@@ -145,9 +145,9 @@
         and were refused for good: not before this one is back.
         """
         self.window.begin(100)
-        self.assertEqual(0.05, self.window.return_seconds(101))
-        self.assertAlmostEqual(4.2, self.window.return_seconds(105.8))
-        self.assertAlmostEqual(2, self.window.return_seconds(108.1))
+        self.assertEqual(0.05, self.window.seconds_until_retry(101))
+        self.assertAlmostEqual(4.2, self.window.seconds_until_retry(105.8))
+        self.assertAlmostEqual(2, self.window.seconds_until_retry(108.1))
 
     def test_each_decision_is_logged(self):
         """Somebody asks why a stream was let in that the stop then cut.
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -7,7 +7,7 @@
 from primrosewood.errors import HistoryLostError, StoreUnavailableError
 from primrosewood.gen_stored import MemberRecord
 from primrosewood.kv import Change, MemoryKeyValue, Pair
-from primrosewood.watcher import Watcher, WatchPace
+from primrosewood.watcher import Watcher, PollSchedule
 
 
 class _SlowListing(MemoryKeyValue):
@@ -66,7 +66,7 @@
     async def begin_listing(self, store, stored):
         """Return a listing that has read the store and not yet answered."""
         await store.put('m/1', stored)
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.take)
+        watcher = Watcher(store, 'm/', PollSchedule(1000), self.take)
         store.gate.set()
         following = asyncio.create_task(watcher.run())
         self.addCleanup(following.cancel)
@@ -110,7 +110,7 @@
         A change must be in force within seconds of being accepted.
         """
         store = _MuteWatch()
-        pace = WatchPace(0.02, polls_per_listing=1)
+        pace = PollSchedule(0.02, polls_per_listing=1)
         watcher = Watcher(store, 'm/', pace, self.take)
         following = asyncio.create_task(watcher.run())
         await store.put('m/1', b'1')
@@ -126,7 +126,7 @@
         below the prefix may have changed since.
         """
         store = _ShortHistory()
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.take)
+        watcher = Watcher(store, 'm/', PollSchedule(1000), self.take)
         following = asyncio.create_task(watcher.run())
         async with asyncio.timeout(5):
             while not store.refused:
@@ -143,7 +143,7 @@
         """
         store = _SlowListing()
         store.gate.set()
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.take)
+        watcher = Watcher(store, 'm/', PollSchedule(1000), self.take)
         following = asyncio.create_task(watcher.run())
         await store.put('m/1', b'1')
         await self.wait_for({'m/1': b'1'})
@@ -161,7 +161,7 @@
         store = MemoryKeyValue()
         lease = await store.grant(30)
         await store.put('m/1', b'1', lease)
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.take)
+        watcher = Watcher(store, 'm/', PollSchedule(1000), self.take)
         await watcher.list_all()
         await store.revoke(lease)
         await watcher.list_all()
@@ -176,17 +176,17 @@
         store = MemoryKeyValue()
         await store.put('m/1', b'1')
         await store.put('m/2', b'2')
-        cut = Watcher(store, 'm/', WatchPace(1000), self.take)
-        peer = Watcher(store, 'm/', WatchPace(1000), _drop)
+        cut = Watcher(store, 'm/', PollSchedule(1000), self.take)
+        peer = Watcher(store, 'm/', PollSchedule(1000), _drop)
         await cut.list_all()
         await peer.list_all()
         await store.put('m/1', b'new')
         store.delete('m/2')
         await peer.list_all()
-        cut.take_told(peer.changes_since(cut.newest), peer.newest)
+        cut.merge_from_peer(peer.changes_since(cut.newest), peer.newest)
         self.assertEqual({'m/1': b'new'}, self.held)
         self.assertEqual(peer.newest, cut.newest)
-        cut.take_told([Change('m/1', 1, Pair('m/1', b'1', 1))], 1)
+        cut.merge_from_peer([Change('m/1', 1, Pair('m/1', b'1', 1))], 1)
         self.assertEqual({'m/1': b'new'}, self.held)
         self.assertEqual(peer.newest, cut.newest)
 
@@ -197,12 +197,12 @@
         """
         store = MemoryKeyValue()
         await store.put('m/1', b'1')
-        watcher = Watcher(store, 'm/', WatchPace(1000), self.take)
+        watcher = Watcher(store, 'm/', PollSchedule(1000), self.take)
         await watcher.list_all()
         await store.put('m/2', b'missed')
         await store.put('m/3', b'told')
         told = await store.list_pairs('m/3')
-        watcher.take_told(
+        watcher.merge_from_peer(
             [Change(pair.key, pair.revision, pair) for pair in told], 3
         )
         following = asyncio.create_task(watcher.run())
