--- a/bench/herd.py
+++ b/bench/herd.py
@@ -13,10 +13,10 @@
 
 from primrosewood.backendset import Backend, BackendRecord, EngineState
 from primrosewood.balancing import (
-    ReservedTokens,
-    Reservation,
     LeastCostBalancer,
     PlacementContext,
+    Reservation,
+    ReservedTokens,
 )
 from primrosewood.directcalls import BackendAttempt
 from primrosewood.enginereports import EngineReports, state_from_report
--- a/primrosewood/admission.py
+++ b/primrosewood/admission.py
@@ -10,7 +10,7 @@
 from .fairness import FairQueue, QueuedRequest
 from .gen_wire import Load
 from .lengths import LengthPredictor
-from .memory import Reservation, MemoryTracker
+from .memory import MemoryTracker, Reservation
 from .warmup import ConcurrencyLimit, ConcurrencyTargets
 
 __all__ = ('Admission', 'AdmissionRequest')
--- a/primrosewood/memory.py
+++ b/primrosewood/memory.py
@@ -5,7 +5,7 @@
 
 from .lengths import HORIZONS, LengthPredictor
 
-__all__ = ('Reservation', 'MemoryTracker')
+__all__ = ('MemoryTracker', 'Reservation')
 
 _MIN_DEVIATIONS = 3.0
 _MAX_DEVIATIONS = 4.0
@@ -135,10 +135,10 @@
         return min(demand.worst, demand.mean + self._deviations * deviation)
 
     def _get_totals(self) -> list['_MemoryDemand']:
-        """Return the demand of all bookings at each horizon.
+        """Return the demand of all reservations at each horizon.
 
-        It is recomputed after a booking is added or removed and after every
-        few tokens, so a check takes the same time for any number of bookings.
+        It is recomputed after a reservation is added or removed and after every
+        few tokens, so a check takes the same time for any number of them.
         """
         if self._tokens_since_refresh >= _REFRESH_TOKENS:
             self._totals = self._sum_demands()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 from primrosewood.admission import Admission, AdmissionRequest
 from primrosewood.errors import NotRunError
 from primrosewood.lengths import HORIZONS, LengthHistogram, LengthPredictor
-from primrosewood.memory import Reservation, MemoryTracker
+from primrosewood.memory import MemoryTracker, Reservation
 from primrosewood.warmup import ConcurrencyTargets
 
 
