--- a/primrosewood/administration.py
+++ b/primrosewood/administration.py
@@ -21,11 +21,11 @@
 from .fleet import Fleet
 from .gen_keys import Keys
 from .gen_process import Limits
-from .httperrors import error_response, translate_error
+from .httperrors import convert_http_exception, error_response
 from .identity import match_secret
 from .logs import log_event
 from .membership import EndpointView
-from .process import log_failure
+from .process import log_unexpected_error
 from .settings import SettingsStore
 
 __all__ = ('AdministrationApi',)
@@ -99,7 +99,7 @@
         except (PrimrosewoodError, web.HTTPException) as error:
             return error_response(_to_request_error(error))
         except Exception as error:
-            log_failure(request.path, error)
+            log_unexpected_error(request.path, error)
             return error_response(RequestFailedError(ErrorKind.internal))
         finally:
             self._active -= 1
@@ -263,7 +263,7 @@
         return error
     if isinstance(error, StoreUnavailableError):
         return RequestFailedError(ErrorKind.store_unavailable, retry_seconds=1)
-    return translate_error(error)
+    return convert_http_exception(error)
 
 
 def _parse_team(request: web.Request) -> str:
--- a/primrosewood/backends.py
+++ b/primrosewood/backends.py
@@ -16,7 +16,7 @@
     WireError,
 )
 from .events import EventSplitter
-from .httpclient import never_repeat
+from .httpclient import prevent_resend
 
 __all__ = (
     'CallResult',
@@ -157,7 +157,7 @@
                 # although it never ran. The endpoint runs next to its back
                 # end, so a new connection per call costs little.
                 connector=aiohttp.TCPConnector(limit=0, force_close=True),
-                middlewares=(never_repeat,),
+                middlewares=(prevent_resend,),
                 timeout=aiohttp.ClientTimeout(
                     total=None, sock_connect=_CONNECT_TIMEOUT_SECONDS
                 ),
--- a/primrosewood/callers.py
+++ b/primrosewood/callers.py
@@ -22,10 +22,10 @@
 from .eventwriter import EventWriter
 from .gen_caller import ChatRequest, CompletionRequest
 from .gen_process import Limits
-from .httperrors import error_response, translate_error
+from .httperrors import convert_http_exception, error_response
 from .logs import log_event
 from .metrics import Metrics
-from .process import log_failure
+from .process import log_unexpected_error
 from .requests import Ended, PlainResponse, Request, Restarted, TokenChunk
 from .resume import parse_event_id
 from .settings import Organisation, SettingsStore
@@ -143,9 +143,9 @@
         except RequestFailedError as error:
             return self._to_error_response(error)
         except web.HTTPException as error:
-            return error_response(translate_error(error))
+            return error_response(convert_http_exception(error))
         except Exception as error:
-            log_failure(request.path, error)
+            log_unexpected_error(request.path, error)
             return error_response(RequestFailedError(ErrorKind.internal))
 
     def _to_error_response(self, error: RequestFailedError) -> web.Response:
--- a/primrosewood/endpoint.py
+++ b/primrosewood/endpoint.py
@@ -14,12 +14,12 @@
 from .etcd import EtcdKeyValue
 from .gen_stored import MemberRecord
 from .identity import make_identifier
-from .linkserver import LinkServer, ServerSide
+from .linkserver import LinkServer, LinkServerCallbacks
 from .logs import log_event
 from .metrics import Metrics
 from .process import run_process, spawn
 from .settings import SETTINGS_PREFIX, SettingsStore
-from .watcher import Watcher, PollSchedule
+from .watcher import PollSchedule, Watcher
 from .worker import EndpointIdentity, Worker
 
 __all__ = ('EndpointProcess', 'main', 'run')
@@ -73,7 +73,7 @@
         self._link_server = LinkServer(
             self._store,
             config.keys.process_key,
-            ServerSide(
+            LinkServerCallbacks(
                 make_welcome=self._make_welcome,
                 current_load=lambda: self._worker.load,
                 handle_message=self._worker.handle,
--- a/primrosewood/entry.py
+++ b/primrosewood/entry.py
@@ -24,7 +24,7 @@
 from .identity import make_identifier
 from .link import Link
 from .linkpool import LinkPool
-from .linkserver import LinkServer, ServerSide
+from .linkserver import LinkServer, LinkServerCallbacks
 from .logs import log_event
 from .metrics import Metrics
 from .process import run_process, spawn
@@ -33,7 +33,7 @@
 from .settings import SETTINGS_PREFIX, SettingsStore
 from .unsent import has_unsent_data
 from .vmlist import VmListPoller
-from .watcher import Watcher, PollSchedule
+from .watcher import PollSchedule, Watcher
 
 __all__ = ('EntryProcess', 'main', 'run')
 
@@ -81,7 +81,7 @@
         self._link_server = LinkServer(
             self._store,
             config.keys.process_key,
-            ServerSide(
+            LinkServerCallbacks(
                 make_welcome=self._make_welcome,
                 current_load=lambda: None,
                 handle_message=self._handle_peer_message,
--- a/primrosewood/httpclient.py
+++ b/primrosewood/httpclient.py
@@ -4,10 +4,10 @@
 
 from .errors import BackendCutError
 
-__all__ = ('never_repeat',)
+__all__ = ('prevent_resend',)
 
 
-async def never_repeat(
+async def prevent_resend(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
     """Prevent the HTTP library from resending a call by itself.
--- a/primrosewood/httperrors.py
+++ b/primrosewood/httperrors.py
@@ -8,7 +8,7 @@
 
 from .errors import ErrorKind, RequestFailedError
 
-__all__ = ('error_body', 'error_response', 'translate_error')
+__all__ = ('error_body', 'error_response', 'convert_http_exception')
 
 
 def error_response(error: RequestFailedError) -> web.Response:
@@ -39,7 +39,7 @@
     return msgspec.json.encode({'error': fields})
 
 
-def translate_error(error: web.HTTPException) -> RequestFailedError:
+def convert_http_exception(error: web.HTTPException) -> RequestFailedError:
     """Convert an exception of the HTTP library to a request error."""
     kinds_by_status = {
         HTTPStatus.NOT_FOUND: ErrorKind.not_found,
--- a/primrosewood/httpserver.py
+++ b/primrosewood/httpserver.py
@@ -14,7 +14,7 @@
     'HttpLimits',
     'listen',
     'listen_metrics',
-    'release_connections',
+    'close_idle_connections',
     'split_address',
     'stop_listening',
 )
@@ -48,14 +48,16 @@
         cross with a request that is on its way.
     max_header_line_bytes
         Maximum length of the request line and of each header field.
-    head_seconds
+    header_timeout_seconds
         Returns the time limit for receiving a request header, from its first
         byte to its last. Called for each header, as operators may change it.
     """
 
     idle_timeout_seconds: float = 300
     max_header_line_bytes: int = 65536
-    head_seconds: Callable[[], float] = lambda: _HEADER_TIMEOUT_SECONDS
+    header_timeout_seconds: Callable[[], float] = lambda: (
+        _HEADER_TIMEOUT_SECONDS
+    )
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -70,7 +72,7 @@
     """Serve requests; a handler is cancelled when its client disconnects."""
     server = _HeaderTimeoutServer(
         handler,
-        limits.head_seconds,
+        limits.header_timeout_seconds,
         handler_cancellation=True,
         access_log=None,
         keepalive_timeout=limits.idle_timeout_seconds,
@@ -84,7 +86,7 @@
     return runner
 
 
-def release_connections(runner: web.ServerRunner) -> None:
+def close_idle_connections(runner: web.ServerRunner) -> None:
     """Close the connections that are idle now.
 
     A caller reuses an open connection even while this process drains; a new
@@ -106,14 +108,17 @@
     """Gives each connection a handler with a header timeout."""
 
     def __init__(
-        self, handler: Handler, head_seconds: Callable[[], float], **options
+        self,
+        handler: Handler,
+        header_timeout_seconds: Callable[[], float],
+        **options,
     ) -> None:
         super().__init__(handler, **options)
-        self._head_seconds = head_seconds
+        self._header_timeout_seconds = header_timeout_seconds
 
     def __call__(self) -> web.RequestHandler:
         return _HeaderTimeoutHandler(
-            self, self._head_seconds, loop=self._loop, **self._kwargs
+            self, self._header_timeout_seconds, loop=self._loop, **self._kwargs
         )
 
 
@@ -125,16 +130,16 @@
     the file descriptors of the process and lock out other callers.
     """
 
-    __slots__ = ('_head_seconds', '_timer', '_has_received_data')
+    __slots__ = ('_header_timeout_seconds', '_timer', '_has_received_data')
 
     def __init__(
         self,
         server: web.Server,
-        head_seconds: Callable[[], float],
+        header_timeout_seconds: Callable[[], float],
         **options,
     ) -> None:
         super().__init__(server, **options)
-        self._head_seconds = head_seconds
+        self._header_timeout_seconds = header_timeout_seconds
         self._timer: asyncio.TimerHandle | None = None
         self._has_received_data = False
 
@@ -148,7 +153,7 @@
         elif self._timer is None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(
-                self._head_seconds(), self._close_on_timeout
+                self._header_timeout_seconds(), self._close_on_timeout
             )
 
     def close_if_idle(self) -> None:
--- a/primrosewood/link.py
+++ b/primrosewood/link.py
@@ -13,7 +13,7 @@
 from .errors import WireError
 from .logs import log_event
 
-__all__ = ('CONNECT_ERRORS', 'Link', 'MessageSource', 'read_greeting')
+__all__ = ('CONNECT_ERRORS', 'Link', 'MessageSource', 'receive_hello')
 
 # Errors that end an attempt to connect or an established connection.
 CONNECT_ERRORS = (
@@ -121,7 +121,7 @@
             await self._socket.send(serialise_frame(frame_messages))
 
 
-async def read_greeting(
+async def receive_hello(
     socket: Connection, key: str, timeout_seconds: float
 ) -> wire.Hello:
     """Receive the Hello message of a peer and check its key.
--- a/primrosewood/linkserver.py
+++ b/primrosewood/linkserver.py
@@ -12,11 +12,11 @@
 from .codec import Message, serialise_frame
 from .gen_process import Limits, Listen
 from .gossip import handle_settings_message, heartbeat
-from .link import CONNECT_ERRORS, Link, read_greeting
+from .link import CONNECT_ERRORS, Link, receive_hello
 from .logs import log_event
 from .settings import SettingsStore
 
-__all__ = ('LinkServer', 'ServerSide')
+__all__ = ('LinkServer', 'LinkServerCallbacks')
 
 _HANDSHAKE_SECONDS = 2.0
 # WebSocket close code.
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerSide:
+class LinkServerCallbacks:
     """Callbacks through which a link server uses its owner.
 
     Attributes
@@ -50,7 +50,10 @@
     """Accepts links from peers that present the process key."""
 
     def __init__(
-        self, store: SettingsStore, process_key: str, callbacks: ServerSide
+        self,
+        store: SettingsStore,
+        process_key: str,
+        callbacks: LinkServerCallbacks,
     ) -> None:
         """Create a server without links."""
         self._store = store
@@ -108,7 +111,7 @@
         await self._run_link(socket, hello.process)
 
     async def _handshake(self, socket: ServerConnection) -> wire.Hello:
-        hello = await read_greeting(
+        hello = await receive_hello(
             socket, self._process_key, _HANDSHAKE_SECONDS
         )
         await socket.send(serialise_frame([self._callbacks.make_welcome()]))
--- a/primrosewood/peerlink.py
+++ b/primrosewood/peerlink.py
@@ -18,7 +18,7 @@
 from . import gen_wire as wire
 from .clock import Clock
 from .codec import Message, serialise_frame
-from .link import CONNECT_ERRORS, Link, read_greeting
+from .link import CONNECT_ERRORS, Link, receive_hello
 from .logs import log_event
 from .process import spawn
 
@@ -213,7 +213,7 @@
 
     async def _serve_peer(self, socket: ServerConnection) -> None:
         try:
-            hello = await read_greeting(
+            hello = await receive_hello(
                 socket, self._key, _HANDSHAKE_TIMEOUT_SECONDS
             )
         except CONNECT_ERRORS as error:
--- a/primrosewood/platform/documents.py
+++ b/primrosewood/platform/documents.py
@@ -85,7 +85,7 @@
     max_header_bytes: NonNegativeInt = CallerLimits().header_bytes
     max_body_bytes: NonNegativeInt = CallerLimits().body_bytes
     header_timeout_ms: NonNegativeFloat = (
-        CallerLimits().head_seconds * _MILLISECONDS
+        CallerLimits().header_timeout_seconds * _MILLISECONDS
     )
 
 
--- a/primrosewood/platform/engines.py
+++ b/primrosewood/platform/engines.py
@@ -17,7 +17,7 @@
 from ..clock import Clock
 from ..directcalls import BackendAttempt, DirectCall, Header
 from ..errors import BackendCutError, ErrorKind, MisdirectedError, NotRunError
-from ..httpclient import never_repeat
+from ..httpclient import prevent_resend
 from ..movableengine import EngineReading
 from ..moves import EngineRun
 from . import headers
@@ -82,7 +82,7 @@
         ),
         auto_decompress=False,
         skip_auto_headers=_LIBRARY_HEADERS,
-        middlewares=(never_repeat,),
+        middlewares=(prevent_resend,),
         max_line_size=_MAX_HEADER_LINE_BYTES,
         max_field_size=_MAX_HEADER_LINE_BYTES,
     )
--- a/primrosewood/platform/entry.py
+++ b/primrosewood/platform/entry.py
@@ -16,9 +16,9 @@
 from ..gen_node import NodeSettings
 from ..httpserver import (
     HttpLimits,
+    close_idle_connections,
     listen,
     listen_metrics,
-    release_connections,
     split_address,
     stop_listening,
 )
@@ -122,7 +122,7 @@
         caller_server = await listen(
             self._frontend.handle,
             settings.entry.callers,
-            HttpLimits(head_seconds=self._get_head_timeout),
+            HttpLimits(header_timeout_seconds=self._get_head_timeout),
         )
         servers = [
             caller_server,
@@ -203,7 +203,9 @@
 
     def _get_head_timeout(self) -> float:
         table = self._tables.table
-        return (table.limits if table else CallerLimits()).head_seconds
+        return (
+            table.limits if table else CallerLimits()
+        ).header_timeout_seconds
 
     def _is_ready(self) -> bool:
         # Stays ready during an outage of the key-value service: the routes and
@@ -240,10 +242,10 @@
             )
 
     async def _wait_until_idle(self, caller_server: web.ServerRunner) -> None:
-        release_connections(caller_server)
+        close_idle_connections(caller_server)
         while self._frontend.active or has_unsent_data(caller_server):
             await asyncio.sleep(_TICK_INTERVAL_SECONDS)
-            release_connections(caller_server)
+            close_idle_connections(caller_server)
 
     async def _close(
         self, tasks: list[asyncio.Task], servers: list[web.ServerRunner]
--- a/primrosewood/platform/frontend.py
+++ b/primrosewood/platform/frontend.py
@@ -14,7 +14,7 @@
 from ..errors import ErrorKind, RequestFailedError
 from ..logs import log_decision
 from ..metrics import Metrics
-from ..process import log_failure
+from ..process import log_unexpected_error
 from ..relay import Relay
 from ..routes import Route, RouteTable, TableHolder, choose_target
 from ..stopping import StopWindow
@@ -126,7 +126,7 @@
         except ConnectionError:
             raise
         except Exception as error:
-            log_failure('request', error)
+            log_unexpected_error('request', error)
             internal_error = RequestFailedError(ErrorKind.internal)
             return self._refuse(request, internal_error)
 
--- a/primrosewood/platform/store.py
+++ b/primrosewood/platform/store.py
@@ -15,7 +15,7 @@
     HistoryLostError,
     StoreUnavailableError,
 )
-from ..httpclient import never_repeat
+from ..httpclient import prevent_resend
 from ..kv import Change, ChangeList, KeyValue, Listing, Pair, SwapResult
 
 __all__ = ('PlatformStore',)
@@ -241,7 +241,7 @@
         if self._lazy_session is None:
             self._lazy_session = aiohttp.ClientSession(
                 timeout=aiohttp.ClientTimeout(total=None),
-                middlewares=(never_repeat,),
+                middlewares=(prevent_resend,),
             )
         return self._lazy_session
 
--- a/primrosewood/process.py
+++ b/primrosewood/process.py
@@ -20,7 +20,7 @@
 from .reload import Node, SettingsReloader, digest_settings
 
 __all__ = (
-    'log_failure',
+    'log_unexpected_error',
     'run_node',
     'run_process',
     'spawn',
@@ -44,7 +44,7 @@
     return task
 
 
-def log_failure(work: str, error: BaseException) -> None:
+def log_unexpected_error(work: str, error: BaseException) -> None:
     """Log an unexpected error by its type and location, without its message.
 
     The message may contain data of a caller.
@@ -163,7 +163,7 @@
 def _handle_task_end(task: asyncio.Task) -> None:
     _background_tasks.discard(task)
     if not task.cancelled() and task.exception() is not None:
-        log_failure(task.get_name(), task.exception())
+        log_unexpected_error(task.get_name(), task.exception())
 
 
 def _error_location(error: BaseException) -> str:
--- a/primrosewood/routes.py
+++ b/primrosewood/routes.py
@@ -129,13 +129,13 @@
     ----------
     header_bytes, body_bytes
         Largest head and body of a request.
-    head_seconds
+    header_timeout_seconds
         Longest time to receive a head.
     """
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
-    head_seconds: float = 10
+    header_timeout_seconds: float = 10
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/processes/test_entry_stop.py
+++ b/tests/processes/test_entry_stop.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from primrosewood.httpclient import never_repeat
+from primrosewood.httpclient import prevent_resend
 
 from .callers import call_service, complete
 from .harness import OPERATOR_KEY, Cluster
@@ -251,7 +251,7 @@
         await self.wait_logged('event=draining')
         base = self.cluster.parts['entry-1'].other_urls['administration']
         async with (
-            aiohttp.ClientSession(middlewares=(never_repeat,)) as session,
+            aiohttp.ClientSession(middlewares=(prevent_resend,)) as session,
             session.put(
                 f'{base}/settings/platform/failure_domains/caerdydd',
                 json={'state': 'out'},
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -15,7 +15,7 @@
 from primrosewood.config import check_document, load_config, make_tls_contexts
 from primrosewood.errors import SettingsInvalidError
 from primrosewood.gen_process import Limits, Listen, TlsSettings
-from primrosewood.linkserver import LinkServer, ServerSide
+from primrosewood.linkserver import LinkServer, LinkServerCallbacks
 from primrosewood.settings import SettingsStore
 
 from .processes.harness import free_port
@@ -98,7 +98,7 @@
         server_tls, client_tls = make_tls_contexts(self.tls, self.folder)
         load = wire.Load(running=0, queued=0, limit=1)
         welcome = wire.Welcome('e1', 'i', 'd', load)
-        side = ServerSide(
+        side = LinkServerCallbacks(
             lambda: welcome, lambda: load, lambda *_: None, lambda _: None
         )
         server = LinkServer(SettingsStore(), 'key-of-the-processes', side)
