--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -6,7 +6,7 @@
 
 from primrosewood import balancing
 
-from .herd import play_fleet
+from .herd import simulate_fleet
 from .results import CaseResult
 
 _SEEDS = (1, 2, 3, 4, 5)
@@ -28,7 +28,7 @@
     for name, replacements in _REPLACEMENTS.items():
         with mock.patch.dict(balancing.__dict__, replacements):
             runs = [
-                play_fleet('announced', _SIMULATED_SECONDS, seed)
+                simulate_fleet('announced', _SIMULATED_SECONDS, seed)
                 for seed in _SEEDS
             ]
         late_percents = [run.late * _PERCENT for run in runs]
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -26,7 +26,7 @@
 
 from .results import CaseResult
 
-__all__ = ('REPORT_MODES', 'FleetFigures', 'play_fleet', 'run_herd')
+__all__ = ('REPORT_MODES', 'FleetFigures', 'run_herd', 'simulate_fleet')
 
 _ENTRY_COUNT = 27
 _ENGINE_COUNT = 25
@@ -373,7 +373,7 @@
             view[index].update_state(state, now)
 
 
-def play_fleet(mode: str, seconds: float, seed: int) -> FleetFigures:
+def simulate_fleet(mode: str, seconds: float, seed: int) -> FleetFigures:
     """Simulate 27 entries and 25 engines.
 
     Parameters
@@ -394,7 +394,7 @@
 def run_herd() -> Iterator[CaseResult]:
     """Compare the report modes on 27 entries and 25 engines."""
     for name in REPORT_MODES:
-        figures = play_fleet(name, _SIMULATED_SECONDS, seed=1)
+        figures = simulate_fleet(name, _SIMULATED_SECONDS, seed=1)
         messages_per_node_second = (
             figures.messages
             / _SIMULATED_SECONDS
--- a/tests/test_enginereports.py
+++ b/tests/test_enginereports.py
@@ -7,7 +7,7 @@
 
 import unittest
 
-from bench.herd import play_fleet
+from bench.herd import simulate_fleet
 from primrosewood.backendset import EngineState
 from primrosewood.enginereports import EngineReports
 
@@ -87,7 +87,7 @@
     """Many entries select engines at the same time."""
 
     def simulate(self, report_mode):
-        return play_fleet(report_mode, 20, seed=3)
+        return simulate_fleet(report_mode, 20, seed=3)
 
     def test_entries_do_not_all_choose_the_engine_that_looks_emptiest(self):
         """Guards against a thundering herd on an engine that looks empty.
@@ -111,7 +111,8 @@
         """
         lost = {
             report_mode: sum(
-                play_fleet(report_mode, 25, seed).lost for seed in range(1, 7)
+                simulate_fleet(report_mode, 25, seed).lost
+                for seed in range(1, 7)
             )
             for report_mode in ('counts', 'announced', 'oracle')
         }
