--- a/primrosewood/callers.py
+++ b/primrosewood/callers.py
@@ -22,7 +22,7 @@
 from .eventwriter import EventWriter
 from .gen_caller import ChatRequest, CompletionRequest
 from .gen_process import Limits
-from .httperrors import error_response, convert_http_exception
+from .httperrors import convert_http_exception, error_response
 from .logs import log_event
 from .metrics import Metrics
 from .process import log_unexpected_error
--- a/primrosewood/platform/entry.py
+++ b/primrosewood/platform/entry.py
@@ -16,9 +16,9 @@
 from ..gen_node import NodeSettings
 from ..httpserver import (
     HttpLimits,
+    close_idle_connections,
     listen,
     listen_metrics,
-    close_idle_connections,
     split_address,
     stop_listening,
 )
--- a/primrosewood/routes.py
+++ b/primrosewood/routes.py
@@ -129,7 +129,7 @@
     ----------
     header_bytes, body_bytes
         Largest head and body of a request.
-    head_seconds
+    header_timeout_seconds
         Longest time to receive a head.
     """
 
