--- a/primrosewood/announce.py
+++ b/primrosewood/announce.py
@@ -56,7 +56,7 @@
 
 
 class Announcer:
-    """Writes the record and renews its lease.
+    """Writes a process's membership record and renews its lease.
 
     The next renewal detects an expired lease and writes the record again under
     a new one. Losing the lease stops no work: the endpoint's own admission
@@ -73,7 +73,7 @@
         store
             The key-value service.
         member
-            The record.
+            Membership record to publish.
         lease_seconds
             Duration of the lease.
         """
--- a/primrosewood/codec.py
+++ b/primrosewood/codec.py
@@ -13,6 +13,7 @@
 
 Message = msgspec.Struct
 
+# CBOR has a type for bytes, so msgspec need not convert them to base64.
 _PASSTHROUGH_TYPES = (bytes,)
 
 # The code of a message type is never reused, so that a peer of another version
--- a/primrosewood/documents.py
+++ b/primrosewood/documents.py
@@ -55,7 +55,8 @@
     Raises
     ------
     RequestFailedError
-        ``not_found`` when the path leads through a value that is no object.
+        ``not_found`` when the path leads through a value that is not an
+        object.
     """
     if not path:
         return replacement
--- a/primrosewood/endpoint.py
+++ b/primrosewood/endpoint.py
@@ -1,4 +1,4 @@
-"""Endpoint process: the only access to one engine or plain service."""
+"""Endpoint process: all calls to one engine or plain service go through it."""
 
 import asyncio
 
--- a/primrosewood/etcd.py
+++ b/primrosewood/etcd.py
@@ -97,7 +97,7 @@
         )
 
     async def grant(self, seconds: int) -> int:
-        """Create a lease that lasts so many seconds and return its ID."""
+        """Create a lease with a time to live in seconds; return its ID."""
         reply = await self._call('lease/grant', {'TTL': str(seconds)})
         return int(reply['ID'])
 
--- a/primrosewood/httpserver.py
+++ b/primrosewood/httpserver.py
@@ -44,8 +44,8 @@
     ----------
     idle_timeout_seconds
         Time after which an idle keep-alive connection is closed. It must be
-        as long as callers may reuse a connection; otherwise closing it can
-        cross with a request that is on its way.
+        at least as long as callers may reuse a connection; otherwise the
+        server may close it while a request is on its way.
     max_header_line_bytes
         Maximum length of the request line and of each header field.
     header_timeout_seconds
@@ -89,8 +89,8 @@
 def close_idle_connections(runner: web.ServerRunner) -> None:
     """Close the connections that are idle now.
 
-    A caller reuses an open connection even while this process drains; a new
-    connection would be balanced to a process that stays.
+    A caller reuses an open connection even while this process drains; the
+    load balancer directs a new connection to a process that stays.
     """
     for connection in runner.server.connections:
         connection.close_if_idle()
@@ -177,7 +177,7 @@
         super().connection_lost(exc)
 
     def _awaits_request(self) -> bool:
-        """Tell whether the handler waits for a complete request header."""
+        """Return whether the handler waits for a complete request header."""
         return self._waiter is not None and not self._waiter.done()
 
     def _stop_timer(self) -> None:
--- a/primrosewood/kv.py
+++ b/primrosewood/kv.py
@@ -138,7 +138,7 @@
 
     @abstractmethod
     async def grant(self, seconds: int) -> int:
-        """Create a lease that lasts so many seconds and return its ID."""
+        """Create a lease with a time to live in seconds; return its ID."""
 
     @abstractmethod
     async def keep_alive(self, lease: int) -> bool:
@@ -237,7 +237,7 @@
         return self._write(key, stored, lease)
 
     async def grant(self, seconds: int) -> int:
-        """Create a lease that lasts so many seconds and return its ID."""
+        """Create a lease with a time to live in seconds; return its ID."""
         lease = self._revision * 1000 + len(self._leases) + 1
         expires_at = self._clock.monotonic() + seconds
         self._leases[lease] = _Lease(seconds, expires_at)
--- a/primrosewood/link.py
+++ b/primrosewood/link.py
@@ -128,6 +128,8 @@
 
     Parameters
     ----------
+    socket
+        Connection that the peer has opened.
     key
         Process key, shared by all processes of a deployment.
     timeout_seconds
--- a/primrosewood/linkserver.py
+++ b/primrosewood/linkserver.py
@@ -135,7 +135,7 @@
 
 
 def _load_changed(load: wire.Load | None, last_sent: wire.Load | None) -> bool:
-    """Tell whether a heartbeat needs to carry the load.
+    """Return whether a heartbeat needs to carry the load.
 
     Messages of running work carry the load as well, so a heartbeat reports
     only a changed state or a change of at least one step.
--- a/primrosewood/membership.py
+++ b/primrosewood/membership.py
@@ -4,7 +4,7 @@
 heartbeat of the connection. Each lags in its own way, so none is sufficient
 alone. Any source that can be read can stop new work, which resumes once all
 that can be read agree. A source that cannot be read does not count: an outage
-of the VM list or of the key-value service does not empty the set.
+of the VM list or of the key-value service makes no endpoint ineligible.
 """
 
 from dataclasses import dataclass, field
@@ -65,7 +65,7 @@
     digest
         Digest of its settings, from its last heartbeat.
     offered
-        Requests offered to it since that load report.
+        Requests offered to it since its last load report.
     outstanding
         Attempts of this entry that are in flight there.
     """
@@ -93,7 +93,7 @@
         return requests / max(1, self.load.limit)
 
     def update_load(self, load: Load) -> None:
-        """Replace the load with a newer report and reset the offers."""
+        """Replace the load with a newer report and reset the offer count."""
         self.load = load
         self.offered = 0
 
@@ -109,7 +109,7 @@
         silence_timeout
             Seconds without a message after which a peer counts as stalled.
         domain_out
-            Whether operators took its failure domain out.
+            Whether operators took its failure domain out of service.
         """
         if domain_out:
             return Veto.domain_out
--- a/primrosewood/reload.py
+++ b/primrosewood/reload.py
@@ -18,8 +18,8 @@
 # modification time takes a few microseconds, and changed limits may take effect
 # this late.
 _POLL_SECONDS = 1.0
-# The field that a running process can apply. Other changes, such as of
-# addresses, need a restart.
+# The field that a running process can apply. Other changes need a restart;
+# addresses, for example, are those of its VM.
 _RELOADABLE_FIELD = 'limits'
 
 # Modification time in nanoseconds, size and inode of a file.
--- a/primrosewood/storeview.py
+++ b/primrosewood/storeview.py
@@ -13,7 +13,8 @@
 # changes that the service has dropped from its history without an error.
 _READS_PER_LISTING = 4
 # Values of this size or more are sent to peers as a difference from their
-# previous version, which is kept for that; smaller ones are sent whole.
+# previous version, which is kept for that. Smaller ones are sent whole, as the
+# saving does not justify keeping two versions.
 _LARGE_VALUE_BYTES = 4096
 
 # Called with the key and its pair, None for a deletion. The same change may
@@ -67,8 +68,9 @@
     async def read(self) -> None:
         """Read the changes since the last read, or list everything.
 
-        A full listing carries all routes and takes seconds on a slow network
-        link, whereas the changes are a few records.
+        A full listing transfers every value below the prefix, such as all
+        routes, and takes seconds on a slow network link, whereas the changes
+        are a few records.
         """
         if self._change_reads_left <= 0:
             await self.list_all()
