--- a/primrosewood/backendset.py
+++ b/primrosewood/backendset.py
@@ -9,8 +9,8 @@
 __all__ = ('Backend', 'BackendRecord', 'BackendSet', 'EngineState')
 
 # Records that expired during an outage of the key-value service are written
-# again within 2 s of its return, as the platform documents; the rest is for
-# the listing that shows them.
+# again within 2 s of its return, as the platform documents; the other 0.3 s
+# cover the listing that shows them.
 _REWRITE_SECONDS = 2.3
 # A removal this long after the service's return may still be of a record that
 # expired during the outage, as the service may have returned earlier for other
@@ -20,12 +20,13 @@
 # are available; the platform restarts a process in about a second.
 _SUSPECT_SECONDS = 1.0
 # Weight of the newest call in the failure rate, a moving average over about
-# three calls; more would take too long, as a suspect back end gets few calls.
+# three calls; an average over more would react too slowly, as a suspect back
+# end gets few calls.
 _NEWEST_WEIGHT = 0.3
-# Suspicion in addition to `_SUSPECT_SECONDS`, per unit of failure rate beyond
-# that of a single failure.  If one of three back ends fails 45% of its calls
-# for 12 s, an entry loses 3.4 calls with it instead of 5.7 without (simulated
-# in tests/test_balancing.py).
+# Seconds of suspicion in addition to `_SUSPECT_SECONDS`, per unit of failure
+# rate beyond that of a single failure.  If one of three back ends fails 45% of
+# its calls for 12 s, an entry loses 3.4 calls with it instead of 5.7 without
+# (simulated in tests/test_balancing.py).
 _FAILURE_RATE_SECONDS = 12.0
 # Most names of removed back ends that are kept.
 _MAX_REMOVED_NAMES = 4096
@@ -114,13 +115,15 @@
     state
         The engine's last report, None without a recent one.
     leaving
-        Whether it is removed or known to leave, apart from report and record.
+        Whether it was removed, or is known to be leaving from another source
+        than its report and record.
     announced_at
         When it was announced, None once it is registered.
     failure_rate
         Share of its recent calls that got no answer, a moving average.
     misdirected_revision
-        Revision of its record when another back end answered at its address.
+        Revision of its record when another back end answered at its address,
+        -1 if none has.
     state_at, suspect_until, cold_until
         Monotonic seconds.
     """
@@ -184,7 +187,7 @@
 
         Later calls are added to the last report, so that an engine with a
         stale report would look fuller and fuller.  A report that the engine
-        is leaving stays in force.
+        is leaving stays in force, as an engine never revokes its notice.
         """
         expired = now > self.state_at + _MAX_REPORT_AGE_SECONDS
         if self.state is None or not expired or self.state.leaving:
@@ -272,6 +275,7 @@
         self._missing.discard(record.name)
         known = self._backends.get(record.name)
         announced = known is not None and known.announced_at is not None
+        # An announcement states no boot to compare.
         if known is None or not (announced or known.record.boot == record.boot):
             known = Backend(record, ColdLimit(self.entries))
             self._backends[record.name] = known
--- a/primrosewood/balancing.py
+++ b/primrosewood/balancing.py
@@ -20,8 +20,9 @@
 
 # Scores are the expected cost of a choice to the caller, in seconds.
 
-# A call to another failure domain takes 2 ms longer and its traffic is paid
-# for, at 0.5% of the value of a stream on time; a busy engine costs 0.1 s.
+# A call to another failure domain takes 2 ms longer, and its traffic costs 0.5%
+# of the value of a stream on time.  This weighs less than the 0.1 s that a busy
+# engine adds.
 _CROSS_DOMAIN_SECONDS = 0.03
 # Scores that differ by less count as equal, and one of the back ends is drawn
 # at random: entries that see the same reports must not all pick the same one.
--- a/primrosewood/calllimits.py
+++ b/primrosewood/calllimits.py
@@ -17,7 +17,7 @@
 
 __all__ = ('CallLimits',)
 
-# Calls within this time are reported in one message.
+# Calls to one back end within this time are reported in one message.
 _BATCH_SECONDS = 0.01
 _MILLISECONDS = 1000
 
--- a/primrosewood/enginemover.py
+++ b/primrosewood/enginemover.py
@@ -60,6 +60,7 @@
         self._mean_copy_seconds = _INITIAL_COPY_SECONDS
         self._reading: EngineReading | None = None
         self._capacity_reply: asyncio.Future[list[MoveTarget]] | None = None
+        # Names of generations that need no further move.
         self._settled: set[str] = set()
         self._move_task: asyncio.Task | None = None
         self._stopping = False
--- a/primrosewood/relay.py
+++ b/primrosewood/relay.py
@@ -41,9 +41,10 @@
 # answer says more than the entry's own error, so the entry waits a little
 # longer.
 _DEADLINE_GRACE_SECONDS = 0.1
-# The notice of a move follows the end of the old stream by 4 to 20 ms; an
-# engine that leaves knows of it some time before, so its notice is awaited
-# longer.  A crash sends no notice, and its caller should get an error soon.
+# The notice of a move follows the end of the old stream by 4 to 20 ms.  An
+# engine gets notice some time before it leaves, so a move is likely and its
+# notice is awaited longer.  After a crash no notice of a move comes, and the
+# caller should get an error soon.
 _MOVE_NOTICE_SECONDS = 0.4
 _LEAVING_NOTICE_SECONDS = 1.0
 # On resumable routes another generation may continue the stream, and waiting
@@ -359,7 +360,7 @@
 
 
 def _attempt_timeout(progress: CallProgress) -> float | None:
-    """Return the seconds that an attempt may take, None for no own limit."""
+    """Return an attempt's timeout in seconds, None for the deadline only."""
     route = progress.call.route
     is_last_run = progress.possible_runs + 1 >= route.max_endpoints
     # Abandoning an answer that may still arrive only helps if another back end
--- a/primrosewood/routes.py
+++ b/primrosewood/routes.py
@@ -128,7 +128,7 @@
     Attributes
     ----------
     header_bytes, body_bytes
-        Largest head and body of a request.
+        Largest head and body of a request, in bytes.
     header_timeout_seconds
         Longest time to receive a head.
     """
--- a/primrosewood/sharedreader.py
+++ b/primrosewood/sharedreader.py
@@ -36,6 +36,7 @@
 _READ_JITTER_SHARE = 0.5
 # A failed read is no outage while updates from others are younger than this.
 _STALE_SECONDS = 1.0
+# Recipient of an update that does not reply to one entry's query.
 _ALL_ENTRIES = ''
 # Compressing smaller values saves too little.
 _MIN_COMPRESSED_BYTES = 1024
--- a/primrosewood/shares.py
+++ b/primrosewood/shares.py
@@ -21,13 +21,15 @@
 # Part of its share that an entry uses; the rest covers entries that are not
 # counted yet.
 _USED_SHARE = 0.8
-# The limit applies to calls per second at the back end.  Calls that are sent a
-# second apart may arrive closer together, so the window is a little longer.
+# The limit of a cold back end applies to calls per second as they arrive there.
+# Calls that are sent a second apart may arrive closer together, so the window
+# is a little longer.
 _COLD_WINDOW_SECONDS = 1.2
 # After a pause, up to this many seconds of a rate limit may be used at once.
 _BURST_SECONDS = 1.0
-# Tokens of a bucket that an entry may hold back: one for this many entries, up
-# to a maximum that the bucket's capacity exceeds by one call.
+# Most spare tokens that `CallLimit.hold_back` requires: one for this many
+# entries, at least one, up to a maximum.  The bucket holds at least one token
+# more than that maximum, so that a call is always possible once it is full.
 _ENTRIES_PER_HELD_TOKEN = 9
 _MAX_HELD_TOKENS = 3.0
 _MIN_BURST_TOKENS = 1 + _MAX_HELD_TOKENS
--- a/primrosewood/stopping.py
+++ b/primrosewood/stopping.py
@@ -86,7 +86,7 @@
         self._ends_at = now
 
     def admits(self, call: DirectCall, answer_tokens: int, now: float) -> bool:
-        """Return whether a call may begin, and log a decision in a stop.
+        """Return whether a call may begin; log the decision during a stop.
 
         Parameters
         ----------
@@ -132,8 +132,9 @@
         """Return whether a stream is sent only once it is complete.
 
         A stream that was admitted late ends before the process at any usual
-        decoding speed, but its engine may still stall or leave.  Part of an
-        answer is worse for the caller than an error.
+        decoding speed, but its engine may still stall or leave, which only the
+        end of the stream rules out.  Part of an answer is worse for the caller
+        than an error.
 
         Parameters
         ----------
