--- a/primrosewood/caller.py
+++ b/primrosewood/caller.py
@@ -17,6 +17,7 @@
 _MAX_ATTEMPTS = 8
 # Delay before a retry when an attempt ends without an error from the entry.
 _CUT_RETRY_SECONDS = 0.2
+# Added to the expected length, so that the limit does not truncate the answer.
 _MAX_TOKENS_MARGIN = 10
 _FIRST_ERROR_STATUS = 400
 _DATA_PREFIX = b'data: '
--- a/primrosewood/platform/documents.py
+++ b/primrosewood/platform/documents.py
@@ -166,7 +166,7 @@
     stored
         The value of the key.
     revision
-        Revision of the store that wrote the record.
+        Revision of the key-value service at which the record was written.
 
     Raises
     ------
--- a/primrosewood/platform/endpoint.py
+++ b/primrosewood/platform/endpoint.py
@@ -29,9 +29,10 @@
 
 
 class EndpointNode:
-    """Reports the engine's state to entries and moves its streams on shutdown.
+    """Reports the state of the engine on this VM and moves its streams.
 
-    Streams are moved to other engines when this engine is about to leave.
+    Entries receive the reports.  Streams are moved to other engines when this
+    engine is about to leave.
     """
 
     def __init__(self, settings: NodeSettings) -> None:
--- a/primrosewood/platform/engines.py
+++ b/primrosewood/platform/engines.py
@@ -251,7 +251,7 @@
     # Prompt tokens of the first request in the queue.
     next_token: int = 0
     state: str = 'ready'
-    # Time until the engine is taken away, None where it does not say.
+    # Time until the engine is taken away, None if it has given no notice.
     leaves_ms: float | None = None
     # A row for each generation past prefill: name, tokens in the KV cache,
     # events sent, priority.
@@ -401,7 +401,7 @@
     An engine reserves KV cache for a whole prompt when it admits the request,
     so what the reported generations do not use belongs to prompts in prefill.
     The report has the size of the first prompt in the queue only; the others
-    are taken to be as long.
+    are assumed to be as long.
     """
     queued_tokens = report.queued * report.next_token
     if report.running <= len(runs):
--- a/primrosewood/platform/entry.py
+++ b/primrosewood/platform/entry.py
@@ -55,8 +55,8 @@
 _BALANCER_DETECTION_SECONDS = 2.6
 # Part of the time until SIGKILL that is kept free to close connections.
 _CLOSE_RESERVE_SECONDS = 0.4
-# One listing of all keys, as the platform charges for each call and not for
-# what it returns.
+# All keys are read in one listing, as the platform charges for each call and
+# not for what it returns.
 _ALL_KEYS_PREFIX = ''
 
 
@@ -122,7 +122,7 @@
         caller_server = await listen(
             self._frontend.handle,
             settings.entry.callers,
-            HttpLimits(header_timeout_seconds=self._get_head_timeout),
+            HttpLimits(header_timeout_seconds=self._get_header_timeout),
         )
         servers = [
             caller_server,
@@ -172,7 +172,7 @@
                 count_call=self._limits.record_call,
             )
         )
-        tools = RelayDependencies(
+        dependencies = RelayDependencies(
             placement=self._placement,
             notices=self._notices,
             transport=self._transport,
@@ -180,7 +180,7 @@
             metrics=self._metrics,
         )
         return HttpFrontend(
-            Relay(tools),
+            Relay(dependencies),
             self._tables,
             self._clock,
             random,
@@ -201,7 +201,7 @@
         watch('endpoints', lambda: len(self._backends.backends))
         watch('entries', lambda: self._entries.count)
 
-    def _get_head_timeout(self) -> float:
+    def _get_header_timeout(self) -> float:
         table = self._tables.table
         return (
             table.limits if table else CallerLimits()
@@ -222,9 +222,9 @@
             self._engines.tick()
 
     async def _drain(self, caller_server: web.ServerRunner) -> None:
-        """Serve until the balancer has noticed the stop and all are answered.
+        """Serve until the load balancer has detected the stop and all is sent.
 
-        Ends earlier when the stop time is over.
+        Ends earlier when the stop time is over, even with requests in progress.
         """
         log_event('draining', active=self._frontend.active)
         self._stop_window.begin(self._clock.monotonic())
--- a/primrosewood/platform/frontend.py
+++ b/primrosewood/platform/frontend.py
@@ -264,7 +264,7 @@
     ) -> None:
         self._request = request
         self._close_if_stopping = close_if_stopping
-        self._must_hold = must_buffer
+        self._must_buffer = must_buffer
         self._response: web.StreamResponse | None = None
         self._buffered: list[bytes] = []
 
@@ -280,7 +280,7 @@
             response.content_length = head.length
         self._close_if_stopping(response)
         self._response = response
-        if not self._must_hold():
+        if not self._must_buffer():
             await response.prepare(self._request)
 
     async def write(self, body: bytes) -> None:
--- a/primrosewood/platform/store.py
+++ b/primrosewood/platform/store.py
@@ -185,7 +185,7 @@
             _require_ok(status)
 
     async def watch(self, prefix: str, since: int) -> AsyncIterator[Change]:
-        """Yield changes below a prefix from a revision on, until cut off."""
+        """Yield changes below a prefix from a revision on, until an error."""
         # The service expects the last known revision, not the first one to
         # return.
         query = {
--- a/standins/backends.py
+++ b/standins/backends.py
@@ -66,7 +66,8 @@
     Attributes
     ----------
     name
-        Instance id, which a caller may expect in a request header.
+        Instance id; a call whose header expects another one is answered with
+        421.
     ran
         The calls that ran, in order of arrival.
     refusing
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -6,7 +6,7 @@
 - ``refuse`` answers new generations with 503;
 - ``stalled`` stops the decoding steps;
 - ``load_lag`` sets the seconds between refreshes of ``/load``;
-- ``cut_at`` resets, once, a stream that has sent so many tokens;
+- ``cut_at`` resets one stream when it has sent this number of tokens;
 - ``turn_cold`` makes the engine cold again.
 """
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -5,11 +5,12 @@
 
 - ``down`` refuses calls of the key-value service with 503 and resets its
   watches;
-- ``slow`` delays each of its calls by so many seconds;
-- ``lose_answers`` answers so many writes with 503 after they were executed;
+- ``slow`` delays each of its calls by this number of seconds;
+- ``lose_answers`` answers this number of writes with 503 after they were
+  executed;
 - ``drop_watch_events`` keeps watches from reporting changes;
 - ``vm_list_down`` refuses calls of the VM list with 503;
-- ``weight_rate`` is how many loads of weights it allows per second.
+- ``weight_rate`` is the number of weight loads allowed per second.
 """
 
 import asyncio
@@ -88,7 +89,7 @@
         return web.json_response(body)
 
     def _loses_answer(self) -> bool:
-        """Return whether this write's answer is lost, and count it off."""
+        """Return whether this write's answer is lost; decrement the count."""
         remaining = self._faults.get('lose_answers', 0)
         self._faults['lose_answers'] = max(0, remaining - 1)
         return remaining > 0
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,8 +1,8 @@
 """Stand-in for a plain service: supplier reorders and stock look-ups.
 
 A process of its own, for tests and the demo.  Faults are set from outside by
-``POST /faults``: ``slow`` delays answers by so many seconds, and ``cut_after``
-resets the connections of so many calls after they ran.
+``POST /faults``: ``slow`` delays answers by this number of seconds, and
+``cut_after`` resets the connections of this number of calls after they ran.
 """
 
 import asyncio
--- a/standins/store.py
+++ b/standins/store.py
@@ -28,7 +28,7 @@
 
 @dataclass
 class StoreFaults:
-    """The faults that the service shows.
+    """Faults that the service simulates.
 
     Attributes
     ----------
@@ -48,7 +48,8 @@
     drip_seconds
         Each body is sent in parts over this time; 0 sends it at once.
     stall
-        Such a body stops after its first half, and the connection stays open.
+        A body that is sent in parts stops after its first half, and the
+        connection stays open.
     """
 
     down: bool = False
@@ -166,7 +167,8 @@
         except TimeoutError:
             if self.faults.mute_watches:
                 return self._answer({'events': []})
-        # A short wait may time out before it reports even earlier changes.
+        # A short wait may time out before the watch yields changes that were
+        # made before it began, so they are listed in any case.
         recent = await self.store.list_changes(prefix, after)
         events = [_to_event(change) for change in recent.changes]
         return self._answer({'events': events})
