--- a/primrosewood/admission.py
+++ b/primrosewood/admission.py
@@ -221,8 +221,9 @@
     def _estimate_wait(self) -> float:
         """Return the seconds that a newly queued request would wait.
 
-        As many requests as the limit allows end per mean duration. The
-        estimate is 0 until the first request has ended.
+        On average, as many requests as the limit allows end within the mean
+        duration of a request. The estimate is 0 until the first one has
+        ended.
         """
         position = len(self.queue) + 1
         return position * self._mean_seconds / max(1, self.limit.limit)
@@ -230,9 +231,9 @@
     def _find_next_fitting(self) -> AdmissionRequest | None:
         """Return the request to start next, None when none may start.
 
-        A request that does not fit is passed by smaller ones that do: the
-        memory they take is too small for it, and it moves to the front as
-        its deadline approaches.
+        Smaller requests that fit overtake one that does not: the memory
+        they take is too small for it, and its priority rises as its deadline
+        approaches.
         """
         if self.running >= self.limit.limit:
             return None
--- a/primrosewood/attempts.py
+++ b/primrosewood/attempts.py
@@ -20,9 +20,11 @@
     ran
         It ran with an idempotency key; its answer was discarded.
     never_seen
-        No offer of it has arrived here.
+        It has no record here (it may be queued), and no record of an ended
+        attempt with an idempotency key was evicted.
     forgotten
-        It is unknown, but may be an attempt whose record was evicted.
+        It has no record here, but may be an ended attempt with an
+        idempotency key whose record was evicted.
     """
 
     kept = 'kept'
@@ -64,8 +66,8 @@
             return AttemptState.refused
         if attempt in self._ran:
             return AttemptState.ran
-        # Once the record of an ended attempt was evicted, an unknown attempt
-        # may be that one, so it can no longer be reported as never seen.
+        # Once the record of an ended keyed attempt was evicted, an unknown
+        # attempt may be that one and can no longer be reported as never seen.
         return (
             AttemptState.forgotten
             if self._has_forgotten
--- a/primrosewood/backends.py
+++ b/primrosewood/backends.py
@@ -343,13 +343,13 @@
 
 
 class _Choice(msgspec.Struct):
-    """Fields that are used of a choice in a chunk."""
+    """The fields of a choice in a chunk that are read."""
 
     text: str = ''
     finish_reason: str | None = None
 
 
 class _Chunk(msgspec.Struct):
-    """Fields that are used of a chunk."""
+    """The fields of a chunk that are read."""
 
     choices: Annotated[list[_Choice], msgspec.Meta(min_length=1)]
--- a/primrosewood/callerbodies.py
+++ b/primrosewood/callerbodies.py
@@ -36,7 +36,8 @@
 
 def extract_engine_fields(body: bytes) -> bytes:
     """Return the fields that are forwarded to the engine unread, as JSON."""
-    # The typed decoding skips unknown fields; this one validates them.
+    # The typed decoding of the request skips unknown fields, so their JSON
+    # is validated here.
     fields = decode_body(body, dict)
     return msgspec.json.encode(
         {
--- a/primrosewood/callers.py
+++ b/primrosewood/callers.py
@@ -362,9 +362,9 @@
 
 
 def _unanswered_error(request: web.Request) -> RequestFailedError:
-    """Return the error for a request that has no response at the stop."""
+    """Return the error for a request still unanswered as the entry stops."""
     if _idempotency_key(request):
-        # A retry with the key gets the answer of this run from another entry.
+        # A retry with the key gets this request's answer via another entry.
         return _refusal_before_claim_read(request, ErrorKind.leaving)
     return RequestFailedError(ErrorKind.outcome_unknown)
 
--- a/primrosewood/claimrouter.py
+++ b/primrosewood/claimrouter.py
@@ -72,8 +72,8 @@
             reply = await self._ask_writer(writer, proposal)
             if reply is not None:
                 return reply
-        # The writer may have written the claim without answering. Its nonce
-        # in the page then identifies it as this entry's claim.
+        # The writer may have written the claim without answering. The nonce
+        # in the page then identifies the claim as this entry's.
         return await self._keeper.claim(proposal)
 
     async def look_up(self, digest: str) -> ClaimRecord | None:
--- a/primrosewood/claims.py
+++ b/primrosewood/claims.py
@@ -282,7 +282,7 @@
         stored = serialise_page(merged)
         if len(stored) > _MAX_PAGE_BYTES:
             # The service refuses larger values, so sending this one is of no
-            # use. New claims wait until old ones expire.
+            # use. New claims of this shard wait until old ones expire.
             raise StoreUnavailableError('the page of claims is full')
         self._swaps += 1
         swap = await self._store.swap(shard.name, stored, shard.revision)
--- a/primrosewood/lookup.py
+++ b/primrosewood/lookup.py
@@ -79,8 +79,9 @@
                 self._refuse_permanently(fetch, link)
 
     def _refuse_permanently(self, fetch: wire.Fetch, link: Link) -> None:
-        # The offer has not arrived; if it still does, it is refused. Without
-        # that guarantee the claim could not pass to another attempt.
+        # The offer has not arrived or was refused; if it arrives later, it is
+        # refused. Without that guarantee the claim could not pass to another
+        # attempt.
         self._attempts.refuse(fetch.claimed_attempt)
         kind = ErrorKind.never_offered.value
         link.send(wire.NotRun(fetch.attempt, kind, 0, self._read_load()))
--- a/primrosewood/memory.py
+++ b/primrosewood/memory.py
@@ -11,6 +11,8 @@
 _MAX_DEVIATIONS = 4.0
 _DEVIATIONS_PER_PREEMPTION = 0.1
 _DEVIATIONS_PER_FINISH = 0.01
+# A new generation is checked at the horizons that it reaches with at least
+# this probability.
 _MIN_SURVIVAL = 0.1
 _REFRESH_TOKENS = 32
 _PERMILLE = 1000
@@ -138,7 +140,7 @@
         """Return the demand of all reservations at each horizon.
 
         It is recomputed after a reservation is added or removed and after every
-        few tokens, so a check takes the same time for any number of them.
+        few tokens, so the time of most checks does not depend on their number.
         """
         if self._tokens_since_refresh >= _REFRESH_TOKENS:
             self._totals = self._sum_demands()
--- a/primrosewood/placement.py
+++ b/primrosewood/placement.py
@@ -192,7 +192,8 @@
 
     def _final_error(self) -> RequestFailedError:
         if self._progress.in_doubt:
-            # An attempt may have run, so the error must not deny it.
+            # An attempt may have run, so the error must not state that the
+            # request did not run.
             return RequestFailedError(ErrorKind.outcome_unknown)
         refusal = self._progress.refusal
         if refusal is None:
@@ -293,6 +294,8 @@
     def _release_claim(self) -> None:
         """Release the claim of an attempt that was refused for good.
 
+        It is replaced by a claim without an endpoint, which any retry may
+        replace in turn.
         Otherwise a later retry would have to ask the endpoint that refused,
         and would get an unknown outcome once that endpoint is replaced.
         """
--- a/primrosewood/routing.py
+++ b/primrosewood/routing.py
@@ -76,7 +76,7 @@
     """Chooses each endpoint in turn."""
 
     def __init__(self, random: RandomSource) -> None:
-        """Start at a random position, so that entries do not move in step."""
+        """Start at a random position, so that entries choose differently."""
         self._next = int(random.random() * _MAX_PREFIXES)
 
     def choose(self, usable: Sequence[EndpointView], work: Work) -> Choice:
--- a/primrosewood/warmup.py
+++ b/primrosewood/warmup.py
@@ -12,6 +12,7 @@
 _COLD_RATIO = 3.0
 _SHRINK_FACTOR = 0.7
 _MIN_UTILISATION = 0.5
+# Good answers needed before the limit rises above its initial value.
 _PROBATION_ANSWERS = 4
 
 
--- a/primrosewood/worker.py
+++ b/primrosewood/worker.py
@@ -29,7 +29,7 @@
 
 __all__ = ('EndpointIdentity', 'Worker')
 
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 _MIN_RETRY_SECONDS = 0.5
 _OFFER_GRACE_SECONDS = 0.3
 _NEVER_SEEN = AttemptState.never_seen
@@ -70,7 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingFetch:
-    """A fetch that is held until `until` because the offer may still come."""
+    """A fetch that is answered later because the offer may still arrive.
+
+    `until` is the monotonic time in seconds at which it is answered anyway.
+    """
 
     fetch: wire.Fetch
     link: Link
@@ -199,7 +202,7 @@
     def leave(self) -> None:
         """Refuse new and queued work from now on; running work continues."""
         self._leaving = True
-        self._refuse_queued(ErrorKind.leaving)
+        self._refuse_all_queued(ErrorKind.leaving)
 
     def update_engine_load(self, load: EngineLoad) -> None:
         """Apply memory size and preemptions from the engine's report."""
@@ -211,7 +214,9 @@
     def tick(self) -> None:
         """Handle timeouts; called a few times per second."""
         for request in self.admission.expire():
-            self._refuse_waiting(request.name, ErrorKind.deadline_unmeetable)
+            self._refuse_queued_attempt(
+                request.name, ErrorKind.deadline_unmeetable
+            )
         self._start_waiting()
         self._answer_expired_fetches()
         self._retention.sweep(self._service.keep_answer_seconds)
@@ -252,7 +257,7 @@
             self._start(queued)
             return
         self._queued[offer.attempt] = queued
-        wait_ms = int(self.admission.retry_seconds * _MILLISECONDS)
+        wait_ms = int(self.admission.retry_seconds * _MS_PER_SECOND)
         link.send(wire.Queued(offer.attempt, wait_ms))
 
     def _find_refusal(self) -> ErrorKind | None:
@@ -279,13 +284,13 @@
         kind: ErrorKind,
         retry_after_seconds: float,
     ) -> None:
-        self._refuse_queued_offer(
+        self._refuse_pending_offer(
             _PendingOffer(offer, {offer.attempt: link}),
             kind,
             retry_after_seconds,
         )
 
-    def _refuse_queued_offer(
+    def _refuse_pending_offer(
         self, queued: _PendingOffer, kind: ErrorKind, retry_after_seconds: float
     ) -> None:
         self._attempts.refuse(queued.offer.attempt)
@@ -303,7 +308,7 @@
         kind: ErrorKind,
         retry_after_seconds: float = 0,
     ) -> None:
-        retry_ms = int(retry_after_seconds * _MILLISECONDS)
+        retry_ms = int(retry_after_seconds * _MS_PER_SECOND)
         link.send(
             wire.NotRun(subscriber_attempt, kind.value, retry_ms, self.load)
         )
@@ -333,16 +338,16 @@
             self._log(queued.offer, 'run', why='waited')
             self._start(queued)
 
-    def _refuse_queued(self, kind: ErrorKind) -> None:
+    def _refuse_all_queued(self, kind: ErrorKind) -> None:
         for request in self.admission.drain():
-            self._refuse_waiting(request.name, kind)
+            self._refuse_queued_attempt(request.name, kind)
 
-    def _refuse_waiting(self, attempt: str, kind: ErrorKind) -> None:
+    def _refuse_queued_attempt(self, attempt: str, kind: ErrorKind) -> None:
         queued = self._queued.pop(attempt)
         retry_after_seconds = max(
             _MIN_RETRY_SECONDS, self.admission.retry_seconds
         )
-        self._refuse_queued_offer(queued, kind, retry_after_seconds)
+        self._refuse_pending_offer(queued, kind, retry_after_seconds)
 
     def _withdraw_offer(self, attempt: str) -> None:
         self._queued.pop(attempt)
@@ -353,7 +358,7 @@
         self.admission.limit.update_targets(_make_targets(self._service))
         kind = self._find_refusal()
         if kind is not None:
-            self._refuse_queued(kind)
+            self._refuse_all_queued(kind)
 
     def _handle_fetch(self, fetch: wire.Fetch, link: Link) -> None:
         queued = self._queued.get(fetch.claimed_attempt)
@@ -422,7 +427,7 @@
         self._start_waiting()
 
     def _make_admission_request(self, offer: wire.Offer) -> AdmissionRequest:
-        seconds_left = offer.deadline_ms / _MILLISECONDS
+        seconds_left = offer.deadline_ms / _MS_PER_SECOND
         return AdmissionRequest(
             name=offer.attempt,
             organisation=_full_name(offer),
