--- a/bench/claims_rate.py
+++ b/bench/claims_rate.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from primrosewood.claimrouter import choose_writer
-from primrosewood.claims import ClaimKeeper, ClaimProposal, shard_of
+from primrosewood.claims import ClaimWriter, ClaimProposal, shard_of
 from primrosewood.clock import SystemClock
 from primrosewood.gen_process import ClaimSettings
 from primrosewood.gen_wire import ClaimRecord
@@ -88,7 +88,7 @@
     store = CountingStore()
     settings = ClaimSettings()
     keepers = {
-        f'entry-{number}': ClaimKeeper(
+        f'entry-{number}': ClaimWriter(
             store, SystemClock(), settings, patience=5
         )
         for number in range(ENTRY_COUNT)
@@ -128,7 +128,7 @@
 
 
 async def _time_claim(
-    keeper: ClaimKeeper, record: ClaimRecord, wait_seconds: list[float]
+    keeper: ClaimWriter, record: ClaimRecord, wait_seconds: list[float]
 ) -> bool:
     started_at = time.monotonic()
     result = await keeper.claim(ClaimProposal(record))
--- a/primrosewood/claimrouter.py
+++ b/primrosewood/claimrouter.py
@@ -12,7 +12,7 @@
 import xxhash
 
 from . import gen_wire as wire
-from .claims import ClaimKeeper, ClaimProposal, ClaimResult, shard_of
+from .claims import ClaimWriter, ClaimProposal, ClaimResult, shard_of
 from .errors import StoreUnavailableError, WireError
 from .fleet import ENTRY_SERVICE, Fleet
 from .gen_wire import ClaimRecord
@@ -45,7 +45,7 @@
     def __init__(
         self,
         name: str,
-        keeper: ClaimKeeper,
+        keeper: ClaimWriter,
         fleet: Fleet,
         links: LinkPool,
         shards: int,
--- a/primrosewood/claims.py
+++ b/primrosewood/claims.py
@@ -23,7 +23,7 @@
 
 __all__ = (
     'CLAIMS_PREFIX',
-    'ClaimKeeper',
+    'ClaimWriter',
     'ClaimProposal',
     'ClaimResult',
     'apply_proposals',
@@ -163,7 +163,7 @@
     return bool(proposal.replaces) and current.nonce == proposal.replaces
 
 
-class ClaimKeeper:
+class ClaimWriter:
     """Writes claims in batches, with one swap in flight per shard.
 
     Parameters
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from primrosewood.claims import (
-    ClaimKeeper,
+    ClaimWriter,
     ClaimProposal,
     apply_proposals,
     parse_page,
@@ -96,7 +96,7 @@
             for number in range(16_000)
         }
         await store.put('primrosewood/claims/0', serialise_page(page))
-        keeper = ClaimKeeper(
+        keeper = ClaimWriter(
             store,
             SystemClock(),
             ClaimSettings(shards=1, period_seconds=0.01),
@@ -134,7 +134,7 @@
     async def race(self, faults, claims):
         store = FaultyStore(faults)
         keepers = [
-            ClaimKeeper(
+            ClaimWriter(
                 store,
                 SystemClock(),
                 ClaimSettings(shards=2, period_seconds=0),
