--- a/primrosewood/gen_keys.py
+++ b/primrosewood/gen_keys.py
@@ -13,14 +13,19 @@
     """
 
     process_key: Annotated[
-        str, Meta(description='Shared by the processes of the system.', min_length=16)
+        str,
+        Meta(
+            description='Secret that the processes of the system share.', min_length=16
+        ),
     ]
     """
-    Shared by the processes of the system.
+    Secret that the processes of the system share.
     """
-    signing_key: Annotated[str, Meta(description='Signs resume tokens.', min_length=16)]
+    signing_key: Annotated[
+        str, Meta(description='Secret that signs resume tokens.', min_length=16)
+    ]
     """
-    Signs resume tokens.
+    Secret that signs resume tokens.
     """
     operators: dict[str, Operator] | UnsetType = field(default_factory=dict)
 
@@ -28,8 +33,9 @@
 class Operator(Struct, forbid_unknown_fields=True):
     key_sha256: Annotated[str, Meta(pattern='^[0-9a-f]{64}$')]
     teams: Annotated[
-        list[str], Meta(description='Subtrees this operator may write; * for all.')
+        list[str],
+        Meta(description='Teams whose settings this operator may write; * for all.'),
     ]
     """
-    Subtrees this operator may write; * for all.
+    Teams whose settings this operator may write; * for all.
     """
--- a/primrosewood/gen_node.py
+++ b/primrosewood/gen_node.py
@@ -33,32 +33,32 @@
     callers: Annotated[
         str,
         Meta(
-            description='Where callers come, as host:port.',
+            description='Listening address for callers, as host:port.',
             pattern='^[0-9.]+:[0-9]{1,5}$',
         ),
     ]
     """
-    Where callers come, as host:port.
+    Listening address for callers, as host:port.
     """
     ready: Annotated[
         str,
         Meta(
-            description='Where the balancer asks, as host:port.',
+            description="Listening address for the load balancer's checks, as host:port.",
             pattern='^[0-9.]+:[0-9]{1,5}$',
         ),
     ]
     """
-    Where the balancer asks, as host:port.
+    Listening address for the load balancer's checks, as host:port.
     """
     peers: Annotated[
         str,
         Meta(
-            description='Where processes beside engines announce themselves, as host:port.',
+            description='Listening address for announcements of processes beside engines, as host:port.',
             pattern='^[0-9.]+:[0-9]{1,5}$',
         ),
     ]
     """
-    Where processes beside engines announce themselves, as host:port.
+    Listening address for announcements of processes beside engines, as host:port.
     """
 
 
@@ -73,13 +73,13 @@
     link_port: Annotated[
         int,
         Meta(
-            description='Where the process beside an engine listens, on every VM.',
+            description='Port on which the process beside an engine listens; the same on every VM.',
             ge=1,
             le=65535,
         ),
     ]
     """
-    Where the process beside an engine listens, on every VM.
+    Port on which the process beside an engine listens; the same on every VM.
     """
     store: Annotated[
         str,
@@ -93,18 +93,23 @@
     """
     limits: SharedLimits
     link_key: (
-        Annotated[str, Meta(description='Shared by all processes of a deployment.')]
+        Annotated[
+            str, Meta(description='Secret that all processes of a deployment share.')
+        ]
         | UnsetType
     ) = ''
     """
-    Shared by all processes of a deployment.
+    Secret that all processes of a deployment share.
     """
     metrics_port: (
-        Annotated[int, Meta(description='0 serves no metrics.', ge=0, le=65535)]
+        Annotated[
+            int,
+            Meta(description='Port of the metrics; 0 disables them.', ge=0, le=65535),
+        ]
         | UnsetType
     ) = 0
     """
-    0 serves no metrics.
+    Port of the metrics; 0 disables them.
     """
     entry: EntryNode | UnsetType = UNSET
     endpoint: EndpointNode | UnsetType = UNSET
@@ -112,13 +117,13 @@
         Annotated[
             list[Seed],
             Meta(
-                description='Entries that may be reached, as host:port; some may be gone.'
+                description='Entries to connect to, as host:port; some may no longer exist.'
             ),
         ]
         | UnsetType
     ) = field(default_factory=list)
     """
-    Entries that may be reached, as host:port; some may be gone.
+    Entries to connect to, as host:port; some may no longer exist.
     """
 
 
@@ -130,19 +135,23 @@
     Limits that all entries share.
     """
 
-    stop_seconds: Annotated[float, Meta(description='From SIGTERM to SIGKILL.', ge=0.0)]
+    stop_seconds: Annotated[
+        float, Meta(description='Time from SIGTERM to SIGKILL.', ge=0.0)
+    ]
     """
-    From SIGTERM to SIGKILL.
+    Time from SIGTERM to SIGKILL.
     """
     repeat_ratio: Annotated[
-        float, Meta(description='Repeats for each request of the window.', ge=0.0)
+        float, Meta(description='Retries allowed per request of the window.', ge=0.0)
     ]
     """
-    Repeats for each request of the window.
+    Retries allowed per request of the window.
     """
-    repeat_slack: Annotated[float, Meta(description='Repeats on top of these.', ge=0.0)]
+    repeat_slack: Annotated[
+        float, Meta(description='Retries allowed in addition to the ratio.', ge=0.0)
+    ]
     """
-    Repeats on top of these.
+    Retries allowed in addition to the ratio.
     """
     repeat_window_seconds: Annotated[float, Meta(ge=0.0)]
     cold_factor: Annotated[float, Meta(ge=0.0)]
--- a/primrosewood/gen_process.py
+++ b/primrosewood/gen_process.py
@@ -13,14 +13,14 @@
         Annotated[
             float,
             Meta(
-                description='Least time between two writes of one shard by one entry.',
+                description='Shortest interval between two writes of one shard by one entry.',
                 ge=0.0,
             ),
         ]
         | UnsetType
     ) = 0.25
     """
-    Least time between two writes of one shard by one entry.
+    Shortest interval between two writes of one shard by one entry.
     """
     retention_seconds: Annotated[int, Meta(ge=60)] | UnsetType = 3600
 
@@ -43,9 +43,9 @@
 
 
 class EntrySettings(Struct, forbid_unknown_fields=True):
-    links: Annotated[Listen, Meta(description='Where other entries connect.')]
+    links: Annotated[Listen, Meta(description='Listening address for other entries.')]
     """
-    Where other entries connect.
+    Listening address for other entries.
     """
     callers: Listen
     administration: Listen
@@ -68,34 +68,42 @@
     queue_length: Annotated[int, Meta(ge=0)] | UnsetType = 256
     stream_window_tokens: (
         Annotated[
-            int, Meta(description="Tokens sent ahead of the receiver's credit.", ge=1)
+            int,
+            Meta(
+                description="Tokens that may be sent beyond the receiver's credit.",
+                ge=1,
+            ),
         ]
         | UnsetType
     ) = 256
     """
-    Tokens sent ahead of the receiver's credit.
+    Tokens that may be sent beyond the receiver's credit.
     """
     kept_tokens: (
         Annotated[
             int,
             Meta(
-                description='Tokens an endpoint keeps over all finished answers.', ge=1
+                description='Tokens that an endpoint keeps of all finished answers together.',
+                ge=1,
             ),
         ]
         | UnsetType
     ) = 400000
     """
-    Tokens an endpoint keeps over all finished answers.
+    Tokens that an endpoint keeps of all finished answers together.
     """
     kept_bytes: (
         Annotated[
             int,
-            Meta(description='Bytes an endpoint keeps over all plain answers.', ge=1),
+            Meta(
+                description='Bytes that an endpoint keeps of all plain answers together.',
+                ge=1,
+            ),
         ]
         | UnsetType
     ) = 8388608
     """
-    Bytes an endpoint keeps over all plain answers.
+    Bytes that an endpoint keeps of all plain answers together.
     """
     attempts_remembered: Annotated[int, Meta(ge=1)] | UnsetType = 20000
 
@@ -113,12 +121,12 @@
     name: Annotated[
         str,
         Meta(
-            description='Name of this process, unique in the fleet.',
+            description='Name of this process, unique in the deployment.',
             pattern='^[a-z0-9][a-z0-9-]{0,62}$',
         ),
     ]
     """
-    Name of this process, unique in the fleet.
+    Name of this process, unique in the deployment.
     """
     failure_domain: Annotated[str, Meta(pattern='^[a-z0-9][a-z0-9-]{0,62}$')]
     store_url: Annotated[
@@ -168,14 +176,14 @@
         Annotated[
             float,
             Meta(
-                description='Between heartbeats of an entry, whose load nobody needs.',
+                description="Interval of an entry's heartbeats; no other process needs its load.",
                 gt=0.0,
             ),
         ]
         | UnsetType
     ) = 5.0
     """
-    Between heartbeats of an entry, whose load nobody needs.
+    Interval of an entry's heartbeats; no other process needs its load.
     """
     silence_seconds: (
         Annotated[
@@ -192,26 +200,26 @@
         Annotated[
             float,
             Meta(
-                description='Between reads of the key-value service that repair missed watch events.',
+                description='Interval of the reads of the key-value service that make up for missed watch events.',
                 gt=0.0,
             ),
         ]
         | UnsetType
     ) = 5.0
     """
-    Between reads of the key-value service that repair missed watch events.
+    Interval of the reads of the key-value service that make up for missed watch events.
     """
     vm_list_seconds: Annotated[float, Meta(gt=0.0)] | UnsetType = 2.0
     store_timeout_seconds: Annotated[float, Meta(gt=0.0)] | UnsetType = 1.5
     reconnect_seconds: (
         Annotated[
             float,
-            Meta(description='Longest pause between connection attempts.', gt=0.0),
+            Meta(description='Longest interval between connection attempts.', gt=0.0),
         ]
         | UnsetType
     ) = 1.0
     """
-    Longest pause between connection attempts.
+    Longest interval between connection attempts.
     """
     resume_seconds: (
         Annotated[
@@ -227,34 +235,36 @@
         Annotated[
             float,
             Meta(
-                description='How long an endpoint lets a stream without a reader run.',
+                description='How long an endpoint lets a stream run without a reader.',
                 gt=0.0,
             ),
         ]
         | UnsetType
     ) = 30.0
     """
-    How long an endpoint lets a stream without a reader run.
+    How long an endpoint lets a stream run without a reader.
     """
     drain_seconds: (
         Annotated[
             float,
             Meta(
-                description='How long a stopping entry still takes new requests, while the balancer notices.',
+                description='How long a stopping entry still accepts new requests, until the load balancer has taken it out.',
                 ge=0.0,
             ),
         ]
         | UnsetType
     ) = 3.0
     """
-    How long a stopping entry still takes new requests, while the balancer notices.
+    How long a stopping entry still accepts new requests, until the load balancer has taken it out.
     """
     stop_seconds: (
-        Annotated[float, Meta(description='Longest graceful shutdown.', gt=0.0)]
+        Annotated[
+            float, Meta(description='Longest duration of a graceful shutdown.', gt=0.0)
+        ]
         | UnsetType
     ) = 600.0
     """
-    Longest graceful shutdown.
+    Longest duration of a graceful shutdown.
     """
 
 
@@ -265,11 +275,11 @@
         Annotated[
             str,
             Meta(
-                description="Authorities that other processes' certificates must come from."
+                description="Certificate authorities that other processes' certificates are verified against."
             ),
         ]
         | UnsetType
     ) = ''
     """
-    Authorities that other processes' certificates must come from.
+    Certificate authorities that other processes' certificates are verified against.
     """
--- a/primrosewood/gen_team.py
+++ b/primrosewood/gen_team.py
@@ -51,14 +51,14 @@
         Annotated[
             str,
             Meta(
-                description="Name callers give as the model; the service's own name when empty.",
+                description="Model name in callers' requests; the service's name when empty.",
                 max_length=200,
             ),
         ]
         | UnsetType
     ) = ''
     """
-    Name callers give as the model; the service's own name when empty.
+    Model name in callers' requests; the service's name when empty.
     """
     repeatable_methods: (
         Annotated[
@@ -95,7 +95,7 @@
         Annotated[
             float,
             Meta(
-                description='How long an endpoint keeps an answer nobody collected.',
+                description='How long an endpoint keeps an answer that no caller has fetched.',
                 ge=1.0,
                 le=86400.0,
             ),
@@ -103,13 +103,13 @@
         | UnsetType
     ) = 120.0
     """
-    How long an endpoint keeps an answer nobody collected.
+    How long an endpoint keeps an answer that no caller has fetched.
     """
     max_running: (
         Annotated[
             int,
             Meta(
-                description="Ceiling of an endpoint's own concurrency limit.",
+                description="Upper bound of an endpoint's adaptive concurrency limit.",
                 ge=1,
                 le=4096,
             ),
@@ -117,7 +117,7 @@
         | UnsetType
     ) = 64
     """
-    Ceiling of an endpoint's own concurrency limit.
+    Upper bound of an endpoint's adaptive concurrency limit.
     """
     start_running: (
         Annotated[
@@ -135,19 +135,25 @@
     """
     first_token_seconds: (
         Annotated[
-            float, Meta(description='Target for the first token.', gt=0.0, le=600.0)
+            float,
+            Meta(
+                description='Target for the time to the first token.', gt=0.0, le=600.0
+            ),
         ]
         | UnsetType
     ) = 0.73
     """
-    Target for the first token.
+    Target for the time to the first token.
     """
     between_tokens_seconds: (
-        Annotated[float, Meta(description='Target between tokens.', gt=0.0, le=60.0)]
+        Annotated[
+            float,
+            Meta(description='Target for the time between tokens.', gt=0.0, le=60.0),
+        ]
         | UnsetType
     ) = 0.025
     """
-    Target between tokens.
+    Target for the time between tokens.
     """
     retry_budget: (
         Annotated[
@@ -167,7 +173,7 @@
         Annotated[
             int,
             Meta(
-                description='Endpoints that one entry keeps connected for this service.',
+                description='Number of endpoints of this service that an entry keeps connected.',
                 ge=2,
                 le=1024,
             ),
@@ -175,7 +181,7 @@
         | UnsetType
     ) = 16
     """
-    Endpoints that one entry keeps connected for this service.
+    Number of endpoints of this service that an entry keeps connected.
     """
 
 
--- a/primrosewood/gen_wire.py
+++ b/primrosewood/gen_wire.py
@@ -18,22 +18,23 @@
     Announces a generation that an entry is sending to the engine beside the receiver.
     """
 
-    attempt: Annotated[str, Meta(description="The caller's name for the attempt.")]
+    attempt: Annotated[
+        str, Meta(description="The attempt's name, as the calling entry chose it.")
+    ]
     """
-    The caller's name for the attempt.
+    The attempt's name, as the calling entry chose it.
     """
     unread_tokens: Annotated[
-        int,
-        Meta(description='Of the prompt, as far as the engine has to read it.', ge=0),
+        int, Meta(description='Prompt tokens that the engine has to prefill.', ge=0)
     ]
     """
-    Of the prompt, as far as the engine has to read it.
+    Prompt tokens that the engine has to prefill.
     """
     whole_tokens: Annotated[
-        int, Meta(description='Of the prompt and the answer that is expected.', ge=0)
+        int, Meta(description='Tokens of the prompt and of the expected answer.', ge=0)
     ]
     """
-    Of the prompt and the answer that is expected.
+    Tokens of the prompt and of the expected answer.
     """
 
 
@@ -43,13 +44,13 @@
         Annotated[
             bool,
             Meta(
-                description='Stop the work now, rather than when nobody comes back for it.'
+                description='Stop the work immediately, rather than when no reader has resumed it in time.'
             ),
         ]
         | UnsetType
     ) = True
     """
-    Stop the work now, rather than when nobody comes back for it.
+    Stop the work immediately, rather than when no reader has resumed it in time.
     """
 
 
@@ -58,16 +59,21 @@
     A claim, sent to the process that writes its shard.
     """
 
-    attempt: Annotated[str, Meta(description='Channel of the answer.')]
+    attempt: Annotated[
+        str, Meta(description='Channel on which the answer is expected.')
+    ]
     """
-    Channel of the answer.
+    Channel on which the answer is expected.
     """
     record: ClaimRecord
     replaces: Annotated[
-        str, Meta(description='Nonce of the claim it follows, empty for the first.')
+        str,
+        Meta(
+            description='Nonce of the claim that this one replaces; empty for the first.'
+        ),
     ]
     """
-    Nonce of the claim it follows, empty for the first.
+    Nonce of the claim that this one replaces; empty for the first.
     """
 
 
@@ -83,9 +89,14 @@
     endpoint: str
     incarnation: str
     body_digest: str
-    claimed_at: Annotated[int, Meta(description='Wall clock of the claimer, seconds.')]
+    claimed_at: Annotated[
+        int,
+        Meta(
+            description='Time of the claim in seconds, by the wall clock of the claiming process.'
+        ),
+    ]
     """
-    Wall clock of the claimer, seconds.
+    Time of the claim in seconds, by the wall clock of the claiming process.
     """
 
 
@@ -137,16 +148,18 @@
 
     running: Annotated[int, Meta(ge=0)]
     queued: Annotated[int, Meta(ge=0)]
-    used_tokens: Annotated[int, Meta(description='Memory that cannot be freed.', ge=0)]
+    used_tokens: Annotated[
+        int, Meta(description='Memory in use that cannot be freed.', ge=0)
+    ]
     """
-    Memory that cannot be freed.
+    Memory in use that cannot be freed.
     """
     total_tokens: Annotated[int, Meta(ge=0)]
     leaving: (
-        Annotated[bool, Meta(description='The engine is about to go.')] | UnsetType
+        Annotated[bool, Meta(description='The engine is about to leave.')] | UnsetType
     ) = False
     """
-    The engine is about to go.
+    The engine is about to leave.
     """
     entries: (
         Annotated[
@@ -159,32 +172,34 @@
     """
     unread_tokens: (
         Annotated[
-            int, Meta(description='Prompts that are being read or wait to be.', ge=0)
+            int, Meta(description='Prompt tokens in prefill or waiting for it.', ge=0)
         ]
         | UnsetType
     ) = 0
     """
-    Prompts that are being read or wait to be.
+    Prompt tokens in prefill or waiting for it.
     """
     generating: (
-        Annotated[int, Meta(description='Generations that have made an event.', ge=0)]
+        Annotated[
+            int, Meta(description='Generations that have produced an event.', ge=0)
+        ]
         | UnsetType
     ) = 0
     """
-    Generations that have made an event.
+    Generations that have produced an event.
     """
     token_micros: (
         Annotated[
             int,
             Meta(
-                description='Microseconds a token took lately; 0 when nothing ran.',
+                description='Recent mean time per token, in microseconds; 0 when nothing ran.',
                 ge=0,
             ),
         ]
         | UnsetType
     ) = 0
     """
-    Microseconds a token took lately; 0 when nothing ran.
+    Recent mean time per token, in microseconds; 0 when nothing ran.
     """
 
 
@@ -255,23 +270,25 @@
         Annotated[
             Rate,
             Meta(
-                description='Calls a second that it takes from all entries together; null without a limit.'
+                description='Calls per second that it accepts from all entries together; null without a limit.'
             ),
         ]
         | None
     )
     """
-    Calls a second that it takes from all entries together; null without a limit.
+    Calls per second that it accepts from all entries together; null without a limit.
     """
-    age_ms: Annotated[int, Meta(description='Since the back end said so.', ge=0)]
+    age_ms: Annotated[
+        int, Meta(description='Time since the back end stated the limit.', ge=0)
+    ]
     """
-    Since the back end said so.
+    Time since the back end stated the limit.
     """
     calls: Annotated[
-        int, Meta(description='Calls that were sent to it and not told before.', ge=0)
+        int, Meta(description='Calls made to it that were not yet reported.', ge=0)
     ]
     """
-    Calls that were sent to it and not told before.
+    Calls made to it that were not yet reported.
     """
 
 
@@ -287,13 +304,14 @@
         Annotated[
             int,
             Meta(
-                description='Booked engine memory, thousandths of its capacity.', ge=0
+                description='Reserved engine memory, in thousandths of its capacity.',
+                ge=0,
             ),
         ]
         | UnsetType
     ) = 0
     """
-    Booked engine memory, thousandths of its capacity.
+    Reserved engine memory, in thousandths of its capacity.
     """
     leaving: bool | UnsetType = False
     refusing: bool | UnsetType = False
@@ -332,13 +350,13 @@
     Asks other entries for changes of the key-value service when it does not answer the sender.
     """
 
-    asker: Annotated[str, Meta(description='Name of the process that asks.')]
+    asker: Annotated[str, Meta(description='Name of the requesting process.')]
     """
-    Name of the process that asks.
+    Name of the requesting process.
     """
-    since: Annotated[int, Meta(description='Last revision that it knows.', ge=0)]
+    since: Annotated[int, Meta(description='Latest revision that it knows.', ge=0)]
     """
-    Last revision that it knows.
+    Latest revision that it knows.
     """
 
 
@@ -349,10 +367,12 @@
 
     asker: Annotated[
         str,
-        Meta(description='Name of the process that asked; empty when it is for all.'),
+        Meta(
+            description='Name of the requesting process; empty when the message is for all.'
+        ),
     ]
     """
-    Name of the process that asked; empty when it is for all.
+    Name of the requesting process; empty when the message is for all.
     """
     since: Annotated[
         int, Meta(description='Revision after which the changes begin.', ge=0)
@@ -361,10 +381,10 @@
     Revision after which the changes begin.
     """
     newest: Annotated[
-        int, Meta(description='Last revision that the answering process knows.', ge=0)
+        int, Meta(description='Latest revision that the answering process knows.', ge=0)
     ]
     """
-    Last revision that the answering process knows.
+    Latest revision that the answering process knows.
     """
     pairs: list[StoredPair]
 
@@ -377,12 +397,12 @@
 Rate: TypeAlias = Annotated[
     float,
     Meta(
-        description='Calls a second that it takes from all entries together; null without a limit.',
+        description='Calls per second that it accepts from all entries together; null without a limit.',
         ge=0.0,
     ),
 ]
 """
-Calls a second that it takes from all entries together; null without a limit.
+Calls per second that it accepts from all entries together; null without a limit.
 """
 
 
@@ -426,9 +446,11 @@
     A generation was stopped and continues from a copy of its KV cache.
     """
 
-    attempt: Annotated[str, Meta(description="The caller's name for the attempt.")]
+    attempt: Annotated[
+        str, Meta(description="The attempt's name, as the calling entry chose it.")
+    ]
     """
-    The caller's name for the attempt.
+    The attempt's name, as the calling entry chose it.
     """
     source: Annotated[str, Meta(description='Engine that made the copy, as host:port.')]
     """
@@ -493,14 +515,14 @@
         Annotated[
             int,
             Meta(
-                description='Revision of the value that a patch applies to; 0 when the whole value is told.',
+                description='Revision of the value that a patch applies to; 0 when the complete value is sent.',
                 ge=0,
             ),
         ]
         | UnsetType
     ) = 0
     """
-    Revision of the value that a patch applies to; 0 when the whole value is told.
+    Revision of the value that a patch applies to; 0 when the complete value is sent.
     """
     packed: (
         Annotated[bool, Meta(description='The stored bytes are compressed.')]
@@ -513,13 +535,13 @@
         Annotated[
             list[Copy],
             Meta(
-                description='Rows of a patch: bytes taken from the inserted ones, then start and length of what is copied from the base.'
+                description='Operations of a patch: number of inserted bytes to take, then start and length of the range to copy from the base.'
             ),
         ]
         | UnsetType
     ) = field(default_factory=list)
     """
-    Rows of a patch: bytes taken from the inserted ones, then start and length of what is copied from the base.
+    Operations of a patch: number of inserted bytes to take, then start and length of the range to copy from the base.
     """
 
 
