--- a/primrosewood/platform/engines.py
+++ b/primrosewood/platform/engines.py
@@ -452,7 +452,7 @@
     """Return why a response is not valid, empty if it is."""
     received = response.headers
     if response.status in _NOT_EXECUTED_STATUSES:
-        return f'status {response.status} without the not-executed header'
+        return f'status {response.status} without its mark'
     if _is_mismatched(call, response):
         return 'an answer to another call'
     if response.status not in _SUCCESS_STATUSES:
@@ -461,7 +461,7 @@
         headers.RESPONSE_SEAL not in received
         or headers.ATTEMPT_ID not in received
     ):
-        return 'a success without the response seal'
+        return 'a success without its seal'
     if 'Content-Encoding' in received:
-        return 'an unexpected Content-Encoding'
+        return 'an encoded answer'
     return ''
