--- a/bench/claims_rate.py
+++ b/bench/claims_rate.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from primrosewood.claimrouter import choose_writer
-from primrosewood.claims import ClaimKeeper, ClaimProposal, shard_of
+from primrosewood.claims import ClaimProposal, ClaimWriter, shard_of
 from primrosewood.clock import SystemClock
 from primrosewood.gen_process import ClaimSettings
 from primrosewood.gen_wire import ClaimRecord
@@ -87,13 +87,13 @@
 ) -> tuple[CountingStore, list[float], int]:
     store = CountingStore()
     settings = ClaimSettings()
-    keepers = {
-        f'entry-{number}': ClaimKeeper(
-            store, SystemClock(), settings, patience=5
+    claim_writers = {
+        f'entry-{number}': ClaimWriter(
+            store, SystemClock(), settings, timeout_seconds=5
         )
         for number in range(ENTRY_COUNT)
     }
-    names = list(keepers)
+    names = list(claim_writers)
     wait_seconds: list[float] = []
     tasks = []
     started_at = time.monotonic()
@@ -108,7 +108,7 @@
             )
         tasks.append(
             asyncio.create_task(
-                _time_claim(keepers[name], record, wait_seconds)
+                _time_claim(claim_writers[name], record, wait_seconds)
             )
         )
     return store, wait_seconds, sum(await asyncio.gather(*tasks))
@@ -128,9 +128,9 @@
 
 
 async def _time_claim(
-    keeper: ClaimKeeper, record: ClaimRecord, wait_seconds: list[float]
+    claim_writer: ClaimWriter, record: ClaimRecord, wait_seconds: list[float]
 ) -> bool:
     started_at = time.monotonic()
-    result = await keeper.claim(ClaimProposal(record))
+    result = await claim_writer.claim(ClaimProposal(record))
     wait_seconds.append(time.monotonic() - started_at)
     return result.granted
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -12,7 +12,7 @@
 from primrosewood.gen_process import Timing
 from primrosewood.gen_stored import MemberRecord
 from primrosewood.gen_wire import Load, SettingsRecord
-from primrosewood.routing import PressurePolicy, Work
+from primrosewood.routing import PressurePolicy, RoutingInput
 from primrosewood.settings import SettingsStore
 from primrosewood.warmup import ConcurrencyTargets
 
@@ -90,7 +90,7 @@
 
     def route(number: int) -> None:
         usable = fleet.usable('t', 's0')
-        policy.choose(usable, Work('t/o', f'prompt {number}'))
+        policy.choose(usable, RoutingInput('t/o', f'prompt {number}'))
 
     return _measure_min_microseconds(route)
 
@@ -142,7 +142,7 @@
             template=f't{number % 20}',
             prompt_tokens=20,
             max_output_tokens=4000,
-            patience=5,
+            max_queue_seconds=5,
             seconds_left=60,
         )
     )
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -349,7 +349,7 @@
         state = engine.state(now)
         if not self._mode.includes_unread:
             state = replace(state, unread_tokens=0)
-        engine.reports.take(state, now)
+        engine.reports.record_state(state, now)
         self._send_report_if_due(now, engine)
 
     def _send_report_if_due(self, now: float, engine: _Engine) -> None:
--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -5,7 +5,7 @@
 from primrosewood.admission import Admission
 from primrosewood.clock import Clock
 from primrosewood.lengths import HORIZONS, LengthForecast, LengthPredictor
-from primrosewood.memory import MemoryTracker, Reservation
+from primrosewood.memory import MemoryReservation, MemoryTracker
 from primrosewood.warmup import ConcurrencyTargets
 
 _RESERVE_SHARE = 0.01
@@ -27,7 +27,7 @@
 class OracleMemoryTracker(MemoryTracker):
     """Admits a generation if the true peak of memory stays below capacity."""
 
-    def fits(self, reservation: Reservation) -> bool:
+    def fits(self, reservation: MemoryReservation) -> bool:
         """Return whether memory suffices at each step until all have ended."""
         streams = [*self._reservations.values(), reservation]
         if len(streams) == 1:
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -15,7 +15,7 @@
 from primrosewood.gen_wire import Load
 from primrosewood.membership import EndpointView
 from primrosewood.retries import RetryBudget, jitter
-from primrosewood.routing import Policy, Work
+from primrosewood.routing import Policy, RoutingInput
 from primrosewood.warmup import ConcurrencyTargets
 from standins.enginemodel import (
     EngineModel,
@@ -142,7 +142,7 @@
             template=job.kind if self._simulation.use_templates else '',
             prompt_tokens=job.prompt_tokens,
             max_output_tokens=job.max_output_tokens,
-            patience=min(
+            max_queue_seconds=min(
                 self._simulation.queue_seconds,
                 job.deadline - self._simulation.clock.now,
             ),
@@ -445,8 +445,8 @@
         if not usable or len(tried) >= _MAX_ATTEMPTS:
             self._schedule_retry(job, retry_seconds or 1.0)
             return
-        work = Work(job.organisation, job.prompt)
-        view = entry.policy.choose(usable, work).endpoint
+        routing_input = RoutingInput(job.organisation, job.prompt)
+        view = entry.policy.choose(usable, routing_input).endpoint
         endpoint = self.endpoints[view.name]
         view.offered += 1
         self.offers += 1
--- a/primrosewood/admission.py
+++ b/primrosewood/admission.py
@@ -10,7 +10,7 @@
 from .fairness import FairQueue, QueuedRequest
 from .gen_wire import Load
 from .lengths import LengthPredictor
-from .memory import MemoryTracker, Reservation
+from .memory import MemoryReservation, MemoryTracker
 from .warmup import ConcurrencyLimit, ConcurrencyTargets
 
 __all__ = ('Admission', 'AdmissionRequest')
@@ -36,7 +36,7 @@
         select the group for length prediction.
     prompt_tokens, max_output_tokens
         Tokens of the prompt, and the maximum number of output tokens.
-    patience
+    max_queue_seconds
         Maximum time in the queue, in seconds.
     seconds_left
         Seconds until the deadline of the request.
@@ -49,7 +49,7 @@
     template: str
     prompt_tokens: int
     max_output_tokens: int
-    patience: float
+    max_queue_seconds: float
     seconds_left: float
 
     @property
@@ -139,7 +139,7 @@
             raise NotRunError(
                 ErrorKind.overloaded, retry_seconds=self.retry_seconds
             )
-        if request.patience < self._estimate_wait():
+        if request.max_queue_seconds < self._estimate_wait():
             raise NotRunError(
                 ErrorKind.deadline_unmeetable, retry_seconds=self.retry_seconds
             )
@@ -268,7 +268,7 @@
                 share=request.share,
                 expected_tokens=min(expected_tokens, request.max_output_tokens),
                 queued_at=now,
-                latest_start=now + request.patience,
+                latest_start=now + request.max_queue_seconds,
                 deadline=now + request.seconds_left,
             )
         )
@@ -282,8 +282,8 @@
         )
 
 
-def _make_reservation(request: AdmissionRequest) -> Reservation:
-    return Reservation(
+def _make_reservation(request: AdmissionRequest) -> MemoryReservation:
+    return MemoryReservation(
         group=request.group,
         prompt=request.prompt_tokens,
         max_output_tokens=request.max_output_tokens,
--- a/primrosewood/backendset.py
+++ b/primrosewood/backendset.py
@@ -267,7 +267,7 @@
         """All back ends, stopping ones included."""
         return list(self._backends.values())
 
-    def take(self, record: BackendRecord, now: float) -> Backend:
+    def apply_record(self, record: BackendRecord, now: float) -> Backend:
         """Add or update a back end by its record, and return it."""
         self._missing.discard(record.name)
         known = self._backends.get(record.name)
@@ -321,7 +321,7 @@
             availability.failed_at = now
         availability.answering = answered
 
-    def settle(self, now: float) -> list[str]:
+    def remove_unregistered(self, now: float) -> list[str]:
         """Drop back ends still unregistered after an outage.
 
         Returns
@@ -341,13 +341,13 @@
             self._drop(name)
         return dropped
 
-    def take_out(self, domain: str) -> bool:
+    def evacuate_domain(self, domain: str) -> bool:
         """Evacuate a failure domain; return whether it was in service."""
         was_in = domain not in self.evacuated
         self.evacuated |= {domain}
         return was_in
 
-    def let_in(self, domain: str, now: float) -> bool:
+    def restore_domain(self, domain: str, now: float) -> bool:
         """Restore a failure domain; return whether it was evacuated."""
         was_out = domain in self.evacuated
         if was_out:
--- a/primrosewood/calllimits.py
+++ b/primrosewood/calllimits.py
@@ -97,7 +97,7 @@
     ) -> bool:
         now = self._clock.monotonic()
         previous_rate = backend.call_limit.rate
-        changed = backend.call_limit.take(rate, now - age, now)
+        changed = backend.call_limit.update(rate, now - age, now)
         if changed:
             self._hold_back(backend.call_limit)
             log_decision(
--- a/primrosewood/claimrouter.py
+++ b/primrosewood/claimrouter.py
@@ -12,7 +12,7 @@
 import xxhash
 
 from . import gen_wire as wire
-from .claims import ClaimKeeper, ClaimProposal, ClaimResult, shard_of
+from .claims import ClaimProposal, ClaimResult, ClaimWriter, shard_of
 from .errors import StoreUnavailableError, WireError
 from .fleet import ENTRY_SERVICE, Fleet
 from .gen_wire import ClaimRecord
@@ -31,13 +31,13 @@
     ----------
     name
         Name of this entry.
-    keeper
+    claim_writer
         Writes claims to the key-value service.
     fleet, links
         Known processes, and the connections to them.
     shards
         Number of shards of claims.
-    patience
+    timeout_seconds
         Timeout in seconds for another entry's answer, after which this entry
         writes the claim itself.
     """
@@ -45,19 +45,19 @@
     def __init__(
         self,
         name: str,
-        keeper: ClaimKeeper,
+        claim_writer: ClaimWriter,
         fleet: Fleet,
         links: LinkPool,
         shards: int,
-        patience: float,
+        timeout_seconds: float,
     ) -> None:
         """Bind to the claims and connections of one entry."""
         self._name = name
-        self._keeper = keeper
+        self._claim_writer = claim_writer
         self._fleet = fleet
         self._links = links
         self._shards = shards
-        self._timeout_seconds = patience
+        self._timeout_seconds = timeout_seconds
 
     async def claim(self, proposal: ClaimProposal) -> ClaimResult:
         """Write a claim, or return the one already in force for its key.
@@ -74,11 +74,11 @@
                 return reply
         # The writer may have written the claim without answering. Its nonce
         # in the page then identifies it as this entry's claim.
-        return await self._keeper.claim(proposal)
+        return await self._claim_writer.claim(proposal)
 
     async def look_up(self, digest: str) -> ClaimRecord | None:
         """Read the claim in force for a key, None when there is none."""
-        return await self._keeper.look_up(digest)
+        return await self._claim_writer.look_up(digest)
 
     def handle(self, ask: wire.ClaimAsk, link: Link) -> None:
         """Write the claim of another entry and send back the result."""
@@ -92,7 +92,7 @@
 
     async def _write_for_peer(self, ask: wire.ClaimAsk, link: Link) -> None:
         try:
-            result = await self._keeper.claim(
+            result = await self._claim_writer.claim(
                 ClaimProposal(ask.record, ask.replaces)
             )
         except (StoreUnavailableError, WireError):
--- a/primrosewood/claims.py
+++ b/primrosewood/claims.py
@@ -23,7 +23,7 @@
 
 __all__ = (
     'CLAIMS_PREFIX',
-    'ClaimKeeper',
+    'ClaimWriter',
     'ClaimProposal',
     'ClaimResult',
     'apply_proposals',
@@ -163,7 +163,7 @@
     return bool(proposal.replaces) and current.nonce == proposal.replaces
 
 
-class ClaimKeeper:
+class ClaimWriter:
     """Writes claims in batches, with one swap in flight per shard.
 
     Parameters
@@ -174,7 +174,7 @@
         Wall clock by which old claims expire.
     settings
         Number of shards, period between writes, and retention of claims.
-    patience
+    timeout_seconds
         Timeout in seconds for writing a claim.
     """
 
@@ -183,13 +183,13 @@
         store: KeyValue,
         clock: Clock,
         settings: ClaimSettings,
-        patience: float,
+        timeout_seconds: float,
     ) -> None:
         """Start without pages; each is read on its first use."""
         self._store = store
         self._clock = clock
         self._settings = settings
-        self._timeout_seconds = patience
+        self._timeout_seconds = timeout_seconds
         self._shards: dict[int, _Shard] = {}
         self._swaps = 0
 
--- a/primrosewood/directcalls.py
+++ b/primrosewood/directcalls.py
@@ -57,7 +57,7 @@
     arrived, deadline
         Monotonic seconds; the call is answered by the deadline, if need be
         with an error.
-    patience
+    caller_deadline
         Monotonic seconds until which the caller waits.
     size
         None for calls to plain services, which do not generate tokens.
@@ -73,7 +73,7 @@
     organisation: str
     arrived: float
     deadline: float
-    patience: float
+    caller_deadline: float
     size: GenerationSize | None = None
 
 
--- a/primrosewood/endpoint.py
+++ b/primrosewood/endpoint.py
@@ -61,7 +61,7 @@
         self._engine = HttpEngine(url)
         self._service = HttpService(url)
         self._worker = Worker(
-            place=self._identity,
+            identity=self._identity,
             store=self._store,
             engine=self._engine,
             plain_service=self._service,
--- a/primrosewood/enginekeeper.py
+++ b/primrosewood/enginekeeper.py
@@ -193,7 +193,7 @@
         self._engine_reachable.clear()
         self._identified.clear()
         self._token_time = TokenTimeEstimator()
-        self._reports.take(_UNREACHABLE_STATE, self._clock.monotonic())
+        self._reports.record_state(_UNREACHABLE_STATE, self._clock.monotonic())
         # Without a report entries would assume that this process is lost.
         self._send_report_if_due()
 
@@ -226,7 +226,7 @@
         leaving = reading.state.leaving
         self._token_time.observe(reading.runs, started_at)
         state = replace(reading.state, token_seconds=self._token_time.seconds)
-        self._reports.take(state, started_at)
+        self._reports.record_state(state, started_at)
         self._send_report_if_due(force=leaving and not was_leaving)
         if leaving and not was_leaving:
             log_decision(
--- a/primrosewood/enginemover.py
+++ b/primrosewood/enginemover.py
@@ -81,7 +81,7 @@
 
     def record_expected_tokens(self, name: str, tokens: int) -> None:
         """Record how many tokens a generation is expected to reach."""
-        self._expected_ends.take(name, tokens)
+        self._expected_ends.add(name, tokens)
 
     def update(self, reading: EngineReading) -> None:
         """Handle a new reading; start moves when the engine is leaving."""
--- a/primrosewood/enginereports.py
+++ b/primrosewood/enginereports.py
@@ -60,7 +60,7 @@
         """Record a call that an entry has just sent to the engine."""
         self._announced.append(_AnnouncedCall(prompt_tokens, now))
 
-    def take(self, state: EngineState, started_at: float) -> None:
+    def record_state(self, state: EngineState, started_at: float) -> None:
         """Record the engine's own figures.
 
         Parameters
--- a/primrosewood/engineview.py
+++ b/primrosewood/engineview.py
@@ -221,7 +221,7 @@
 
     def _handle_report(self, address: str, report: wire.EngineReport) -> None:
         self._reported_entries[address] = report.entries
-        self._entries.take(max(self._reported_entries.values()))
+        self._entries.update(max(self._reported_entries.values()))
         backend = self._backends.find_address(address)
         if backend is None:
             return
--- a/primrosewood/entry.py
+++ b/primrosewood/entry.py
@@ -12,7 +12,7 @@
 from .callers import CallerApi
 from .changes import SettingsEditor
 from .claimrouter import ClaimRouter
-from .claims import ClaimKeeper
+from .claims import ClaimWriter
 from .clock import SystemClock, make_random
 from .codec import Message
 from .config import ProcessConfig, make_tls_contexts
@@ -167,17 +167,17 @@
     def _make_claim_router(self) -> ClaimRouter:
         settings = self._settings
         timeout_seconds = settings.timing.store_timeout_seconds
-        claim_keeper = ClaimKeeper(
+        claim_writer = ClaimWriter(
             self._key_value, self._clock, settings.claims, timeout_seconds
         )
-        self._metrics.watch('claim_swaps', lambda: claim_keeper.swaps)
+        self._metrics.watch('claim_swaps', lambda: claim_writer.swaps)
         return ClaimRouter(
             name=settings.name,
-            keeper=claim_keeper,
+            claim_writer=claim_writer,
             fleet=self._fleet,
             links=self._links,
             shards=settings.claims.shards,
-            patience=timeout_seconds * _PEER_TIMEOUT_SHARE,
+            timeout_seconds=timeout_seconds * _PEER_TIMEOUT_SHARE,
         )
 
     def _make_member_record(self) -> MemberRecord:
--- a/primrosewood/expectedends.py
+++ b/primrosewood/expectedends.py
@@ -20,7 +20,7 @@
         """Create an estimator without expected lengths."""
         self._expected_tokens: OrderedDict[str, int] = OrderedDict()
 
-    def take(self, name: str, whole_tokens: int) -> None:
+    def add(self, name: str, whole_tokens: int) -> None:
         """Record the tokens of a generation's prompt and expected answer."""
         self._expected_tokens[name] = whole_tokens
         if len(self._expected_tokens) > _MAX_TRACKED:
--- a/primrosewood/lookup.py
+++ b/primrosewood/lookup.py
@@ -102,7 +102,7 @@
                 template='',
                 prompt_tokens=0,
                 max_output_tokens=0,
-                patience=0,
+                max_queue_seconds=0,
                 seconds_left=0,
             )
         )
--- a/primrosewood/memory.py
+++ b/primrosewood/memory.py
@@ -5,7 +5,7 @@
 
 from .lengths import HORIZONS, LengthPredictor
 
-__all__ = ('MemoryTracker', 'Reservation')
+__all__ = ('MemoryTracker', 'MemoryReservation')
 
 _MIN_DEVIATIONS = 3.0
 _MAX_DEVIATIONS = 4.0
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Reservation:
+class MemoryReservation:
     """KV cache memory of one generation, now and at most, in tokens.
 
     Attributes
@@ -67,7 +67,7 @@
         """Start without generations."""
         self.capacity = capacity
         self._lengths = lengths
-        self._reservations: dict[str, Reservation] = {}
+        self._reservations: dict[str, MemoryReservation] = {}
         self._deviations = _MIN_DEVIATIONS
         self._totals: list[_MemoryDemand] = []
         self._tokens_since_refresh = _REFRESH_TOKENS
@@ -85,7 +85,7 @@
         demand = self._bound_demand(self._get_totals()[0])
         return int(demand * _PERMILLE / self.capacity)
 
-    def fits(self, reservation: Reservation) -> bool:
+    def fits(self, reservation: MemoryReservation) -> bool:
         """Return whether one more generation fits.
 
         An idle engine takes any generation: waiting would not free memory.
@@ -104,7 +104,7 @@
             if alive[index] >= _MIN_SURVIVAL or not index
         )
 
-    def add(self, name: str, reservation: Reservation) -> None:
+    def add(self, name: str, reservation: MemoryReservation) -> None:
         """Add a generation."""
         self._reservations[name] = reservation
         self._tokens_since_refresh = _REFRESH_TOKENS
@@ -178,7 +178,7 @@
 
 
 def _estimate_demand(
-    reservation: Reservation, index: int, alive: tuple[float, ...]
+    reservation: MemoryReservation, index: int, alive: tuple[float, ...]
 ) -> _MemoryDemand:
     max_held = reservation.prompt + reservation.max_output_tokens
     projected = min(max_held, reservation.held + HORIZONS[index])
--- a/primrosewood/placement.py
+++ b/primrosewood/placement.py
@@ -24,7 +24,7 @@
 from .progress import EntryContext, Progress
 from .recovery import Recovery
 from .retries import jitter
-from .routing import Choice, Work
+from .routing import Choice, RoutingInput
 
 __all__ = ('Placement',)
 
@@ -166,8 +166,10 @@
         usable = self._usable_endpoints()
         if not usable:
             raise self._final_error()
-        work = Work(request.organisation.full_name, request.prompt)
-        choice = context.policy.choose(usable, work)
+        routing_input = RoutingInput(
+            request.organisation.full_name, request.prompt
+        )
+        choice = context.policy.choose(usable, routing_input)
         choice.endpoint.offered += 1
         context.metrics.count('offers')
         self._log_choice(choice, len(usable))
--- a/primrosewood/platform/discovery.py
+++ b/primrosewood/platform/discovery.py
@@ -66,9 +66,9 @@
             self._store_available = available
             log_event('store_regained' if available else 'store_lost')
 
-    def settle(self) -> None:
+    def remove_unregistered(self) -> None:
         """Remove back ends that have not registered again after an outage."""
-        removed = self._backends.settle(self._clock.monotonic())
+        removed = self._backends.remove_unregistered(self._clock.monotonic())
         for name in removed:
             log_decision('endpoint_out', endpoint=name, why='not back')
         if removed:
@@ -85,7 +85,7 @@
         except WireError as error:
             log_event('table_refused', 'ERROR', why=error)
             return
-        if self._tables.take(table):
+        if self._tables.replace_if_newer(table):
             log_decision(
                 'table_in_force',
                 version=table.version,
@@ -97,9 +97,9 @@
     def _apply_evacuation(self, key: str, pair: Pair | None) -> None:
         domain = key.removeprefix(documents.EVACUATED_PREFIX)
         if pair is None:
-            if self._backends.let_in(domain, self._clock.monotonic()):
+            if self._backends.restore_domain(domain, self._clock.monotonic()):
                 log_decision('failure_domain_back', failure_domain=domain)
-        elif self._backends.take_out(domain):
+        elif self._backends.evacuate_domain(domain):
             log_decision(
                 'failure_domain_out',
                 failure_domain=domain,
@@ -137,5 +137,5 @@
                 draining=record.draining,
                 cold=record.cold_seconds or None,
             )
-        self._backends.take(record, now)
+        self._backends.apply_record(record, now)
         self._on_change()
--- a/primrosewood/platform/engines.py
+++ b/primrosewood/platform/engines.py
@@ -216,7 +216,9 @@
         self, call: DirectCall, backend_attempt: BackendAttempt
     ) -> CIMultiDict[str]:
         request_headers = CIMultiDict(call.headers)
-        remaining = min(call.patience, call.deadline) - self._clock.monotonic()
+        remaining = (
+            min(call.caller_deadline, call.deadline) - self._clock.monotonic()
+        )
         request_headers[headers.DEADLINE] = str(
             max(0, int(remaining * _MILLISECONDS))
         )
--- a/primrosewood/platform/entry.py
+++ b/primrosewood/platform/entry.py
@@ -218,7 +218,7 @@
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(_TICK_INTERVAL_SECONDS)
-            self._discovery.settle()
+            self._discovery.remove_unregistered()
             self._engines.tick()
 
     async def _drain(self, caller_server: web.ServerRunner) -> None:
--- a/primrosewood/platform/frontend.py
+++ b/primrosewood/platform/frontend.py
@@ -172,7 +172,7 @@
         table = self._tables.table
         route = _find_route(request, table)
         organisation = _authenticate(raw_headers, route, table)
-        patience = headers.parse_deadline(
+        timeout_seconds = headers.parse_deadline(
             headers.find_header(raw_headers, headers.DEADLINE)
         )
         deadline = arrived + route.timeout
@@ -188,7 +188,11 @@
             organisation=organisation,
             arrived=arrived,
             deadline=deadline,
-            patience=deadline if patience is None else arrived + patience,
+            caller_deadline=(
+                deadline
+                if timeout_seconds is None
+                else arrived + timeout_seconds
+            ),
             size=headers.parse_size(raw_headers) if route.streaming else None,
         )
 
@@ -241,7 +245,9 @@
         self._metrics.count('callers_left')
 
     def _choose_retry_delay(self, call: DirectCall, now: float) -> float:
-        longest_accepted = max(0, call.patience - now) * _MAX_RETRY_WAIT_SHARE
+        longest_accepted = (
+            max(0, call.caller_deadline - now) * _MAX_RETRY_WAIT_SHARE
+        )
         return min(self.stop.seconds_until_retry(now), longest_accepted)
 
     def _close_if_stopping(self, response: web.StreamResponse) -> None:
@@ -264,7 +270,7 @@
     ) -> None:
         self._request = request
         self._close_if_stopping = close_if_stopping
-        self._must_hold = must_buffer
+        self._must_buffer = must_buffer
         self._response: web.StreamResponse | None = None
         self._buffered: list[bytes] = []
 
@@ -280,7 +286,7 @@
             response.content_length = head.length
         self._close_if_stopping(response)
         self._response = response
-        if not self._must_hold():
+        if not self._must_buffer():
             await response.prepare(self._request)
 
     async def write(self, body: bytes) -> None:
--- a/primrosewood/routes.py
+++ b/primrosewood/routes.py
@@ -200,7 +200,7 @@
         traits = self.traits(service)
         return traits.engine if traits else None
 
-    def take(self, table: RouteTable) -> bool:
+    def replace_if_newer(self, table: RouteTable) -> bool:
         """Replace the table by a newer one; return whether it is newer."""
         if table.version <= self.version:
             return False
--- a/primrosewood/routing.py
+++ b/primrosewood/routing.py
@@ -19,7 +19,7 @@
     'PressurePolicy',
     'RoundRobin',
     'TwoChoices',
-    'Work',
+    'RoutingInput',
     'make_policy',
 )
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class RoutingInput:
     """Properties of a request that a policy may use.
 
     Attributes
@@ -68,7 +68,9 @@
 class Policy(Protocol):
     """A load-balancing policy; ``usable`` is never empty."""
 
-    def choose(self, usable: Sequence[EndpointView], work: Work) -> Choice:
+    def choose(
+        self, usable: Sequence[EndpointView], routing_input: RoutingInput
+    ) -> Choice:
         """Return the endpoint that gets the offer."""
 
 
@@ -79,7 +81,9 @@
         """Start at a random position, so that entries do not move in step."""
         self._next = int(random.random() * _MAX_PREFIXES)
 
-    def choose(self, usable: Sequence[EndpointView], work: Work) -> Choice:
+    def choose(
+        self, usable: Sequence[EndpointView], routing_input: RoutingInput
+    ) -> Choice:
         """Return the endpoint that gets the offer."""
         self._next = (self._next + 1) % len(usable)
         return Choice(usable[self._next], 'turn', len(usable))
@@ -92,7 +96,9 @@
         """Use the random source to break ties."""
         self._random = random
 
-    def choose(self, usable: Sequence[EndpointView], work: Work) -> Choice:
+    def choose(
+        self, usable: Sequence[EndpointView], routing_input: RoutingInput
+    ) -> Choice:
         """Return the endpoint that gets the offer."""
         least = min(
             usable, key=lambda view: (view.outstanding, self._random.random())
@@ -107,7 +113,9 @@
         """Use the random source to sample."""
         self._random = random
 
-    def choose(self, usable: Sequence[EndpointView], work: Work) -> Choice:
+    def choose(
+        self, usable: Sequence[EndpointView], routing_input: RoutingInput
+    ) -> Choice:
         """Return the endpoint that gets the offer."""
         sampled = _sample(self._random, usable, 2)
         return Choice(
@@ -129,13 +137,15 @@
         self._random = random
         self._endpoint_by_prefix: OrderedDict[int, str] = OrderedDict()
 
-    def choose(self, usable: Sequence[EndpointView], work: Work) -> Choice:
+    def choose(
+        self, usable: Sequence[EndpointView], routing_input: RoutingInput
+    ) -> Choice:
         """Return the endpoint that gets the offer."""
         sampled = _sample(self._random, usable, _SAMPLE_SIZE)
         best = min(sampled, key=_score)
-        if not work.prompt:
+        if not routing_input.prompt:
             return Choice(best, 'pressure', len(sampled))
-        prefix = _hash_prefix(work)
+        prefix = _hash_prefix(routing_input)
         previous = self._find_previous(prefix, usable)
         if previous and _score(previous) <= _score(best) + _AFFINITY_SLACK:
             return Choice(previous, 'prefix', len(sampled))
@@ -184,6 +194,8 @@
     return endpoint.pressure + endpoint.load.memory / _FULL_MEMORY
 
 
-def _hash_prefix(work: Work) -> int:
-    beginning = work.prompt[:_PREFIX_CHARACTERS]
-    return xxhash.xxh64_intdigest(f'{work.organisation}/{beginning}'.encode())
+def _hash_prefix(routing_input: RoutingInput) -> int:
+    beginning = routing_input.prompt[:_PREFIX_CHARACTERS]
+    return xxhash.xxh64_intdigest(
+        f'{routing_input.organisation}/{beginning}'.encode()
+    )
--- a/primrosewood/shares.py
+++ b/primrosewood/shares.py
@@ -53,7 +53,7 @@
         """Number of entries, at least one."""
         return self._count
 
-    def take(self, entries: int) -> None:
+    def update(self, entries: int) -> None:
         """Update the number to that of the entries connected to an endpoint."""
         self._count = max(1, entries)
 
@@ -169,7 +169,9 @@
         """When the back end last stated its limit, in monotonic seconds."""
         return self._reported_at
 
-    def take(self, rate: float | None, reported_at: float, now: float) -> bool:
+    def update(
+        self, rate: float | None, reported_at: float, now: float
+    ) -> bool:
         """Update the limit; return whether the rate changes.
 
         Parameters
--- a/primrosewood/worker.py
+++ b/primrosewood/worker.py
@@ -82,7 +82,7 @@
 
     Parameters
     ----------
-    place
+    identity
         Identity of this endpoint.
     store
         Settings that are in force.
@@ -99,7 +99,7 @@
 
     def __init__(
         self,
-        place: EndpointIdentity,
+        identity: EndpointIdentity,
         store: SettingsStore,
         engine: Engine,
         plain_service: PlainService,
@@ -109,7 +109,7 @@
         metrics: Metrics,
     ) -> None:
         """Start with the limit of a cold engine and no work."""
-        self._identity = place
+        self._identity = identity
         self._store = store
         self._clock = clock
         self._metrics = metrics
@@ -142,7 +142,7 @@
             timing,
         )
         self._lookup = JobLookup(
-            incarnation=place.incarnation,
+            incarnation=identity.incarnation,
             attempts=self._attempts,
             subscribers=self._subscribers,
             admission=self.admission,
@@ -431,7 +431,7 @@
             template=digest_prompt_prefix(offer.prompt),
             prompt_tokens=estimate_tokens(offer.prompt),
             max_output_tokens=offer.max_tokens,
-            patience=min(self._service.queue_seconds, seconds_left),
+            max_queue_seconds=min(self._service.queue_seconds, seconds_left),
             seconds_left=seconds_left,
         )
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 from primrosewood.admission import Admission, AdmissionRequest
 from primrosewood.errors import NotRunError
 from primrosewood.lengths import HORIZONS, LengthHistogram, LengthPredictor
-from primrosewood.memory import MemoryTracker, Reservation
+from primrosewood.memory import MemoryReservation, MemoryTracker
 from primrosewood.warmup import ConcurrencyTargets
 
 
@@ -26,7 +26,11 @@
 
 
 def make_request(
-    name, organisation='o', patience=5.0, max_output_tokens=100, seconds_left=60
+    name,
+    organisation='o',
+    max_queue_seconds=5.0,
+    max_output_tokens=100,
+    seconds_left=60,
 ):
     return AdmissionRequest(
         name,
@@ -36,7 +40,7 @@
         't',
         10,
         max_output_tokens,
-        patience,
+        max_queue_seconds,
         seconds_left,
     )
 
@@ -86,9 +90,11 @@
         self.clock.now += 10
         self.admission.finish('0', 10, whole=True)
         for number in (1, 2, 3):
-            self.admission.offer(make_request(str(number), patience=60))
+            self.admission.offer(
+                make_request(str(number), max_queue_seconds=60)
+            )
         with self.assertRaises(NotRunError):
-            self.admission.offer(make_request('4', patience=1))
+            self.admission.offer(make_request('4', max_queue_seconds=1))
 
     @settings(derandomize=True, max_examples=200)
     @given(
@@ -217,13 +223,13 @@
 
     def test_empty_engine_takes_anything(self):
         tracker = self.make_tracker()
-        self.assertTrue(tracker.fits(Reservation(('long',), 5000, 5000)))
+        self.assertTrue(tracker.fits(MemoryReservation(('long',), 5000, 5000)))
 
     def test_short_answers_pass_where_long_ones_do_not(self):
         tracker = self.make_tracker(capacity=800)
-        tracker.add('a', Reservation(('long',), 50, 4000, produced=300))
-        self.assertFalse(tracker.fits(Reservation(('long',), 50, 4000)))
-        self.assertTrue(tracker.fits(Reservation(('short',), 50, 4000)))
+        tracker.add('a', MemoryReservation(('long',), 50, 4000, produced=300))
+        self.assertFalse(tracker.fits(MemoryReservation(('long',), 50, 4000)))
+        self.assertTrue(tracker.fits(MemoryReservation(('short',), 50, 4000)))
 
     def test_preemptions_raise_the_reserve(self):
         tracker = self.make_tracker()
@@ -236,6 +242,6 @@
 
     def test_unknown_capacity_admits(self):
         tracker = self.make_tracker(capacity=0)
-        tracker.add('a', Reservation(('long',), 50, 4000))
-        self.assertTrue(tracker.fits(Reservation(('long',), 50, 4000)))
+        tracker.add('a', MemoryReservation(('long',), 50, 4000))
+        self.assertTrue(tracker.fits(MemoryReservation(('long',), 50, 4000)))
         self.assertEqual(0, tracker.permille)
--- a/tests/test_backendset.py
+++ b/tests/test_backendset.py
@@ -22,7 +22,7 @@
 
     def test_removal_without_an_outage_applies_at_once(self):
         """An engine leaves without notice: only its record is removed."""
-        found = self.backends.take(make_record(), 100)
+        found = self.backends.apply_record(make_record(), 100)
         self.assertTrue(self.backends.remove('e1', 100))
         self.assertEqual([], self.usable_names())
         self.assertTrue(found.stopping)
@@ -34,32 +34,32 @@
         still serve, have written their records again.
         """
         for name in ('e1', 'e2'):
-            self.backends.take(make_record(name), 100)
+            self.backends.apply_record(make_record(name), 100)
         self.backends.record_store_result(answered=False, now=101)
         self.backends.record_store_result(answered=True, now=106)
         for name in ('e1', 'e2'):
             self.assertFalse(self.backends.remove(name, 106))
         self.assertEqual(['e1', 'e2'], self.usable_names())
-        self.backends.take(make_record('e1'), 107)
-        self.assertEqual([], self.backends.settle(107))
-        self.assertEqual(['e2'], self.backends.settle(108.5))
+        self.backends.apply_record(make_record('e1'), 107)
+        self.assertEqual([], self.backends.remove_unregistered(107))
+        self.assertEqual(['e2'], self.backends.remove_unregistered(108.5))
         self.assertEqual(['e1'], self.usable_names())
 
     def test_nothing_is_dropped_during_an_outage(self):
-        self.backends.take(make_record(), 100)
+        self.backends.apply_record(make_record(), 100)
         self.backends.record_store_result(answered=False, now=101)
         self.assertFalse(self.backends.remove('e1', 102))
-        self.assertEqual([], self.backends.settle(200))
+        self.assertEqual([], self.backends.remove_unregistered(200))
         self.assertEqual(['e1'], self.usable_names())
 
     def test_every_source_can_stop_new_calls(self):
-        self.backends.take(make_record('e1', draining=True), 100)
-        self.backends.take(make_record('e2'), 100).update_state(
+        self.backends.apply_record(make_record('e1', draining=True), 100)
+        self.backends.apply_record(make_record('e2'), 100).update_state(
             EngineState(leaving=True), 100
         )
-        self.backends.take(make_record('e3', domain='d2'), 100)
-        self.backends.take(make_record('e4'), 100)
-        self.backends.take_out('d2')
+        self.backends.apply_record(make_record('e3', domain='d2'), 100)
+        self.backends.apply_record(make_record('e4'), 100)
+        self.backends.evacuate_domain('d2')
         self.assertEqual(['e4'], self.usable_names())
 
     def test_restored_domain_may_be_cold(self):
@@ -68,10 +68,10 @@
         Their records say so only with the next heartbeat; full load before
         that would overload a cold engine.
         """
-        found = self.backends.take(make_record(), 100)
-        self.backends.take_out('d1')
+        found = self.backends.apply_record(make_record(), 100)
+        self.backends.evacuate_domain('d1')
         self.assertFalse(self.backends.is_cold(found, 101))
-        self.backends.let_in('d1', 110)
+        self.backends.restore_domain('d1', 110)
         self.assertTrue(self.backends.is_cold(found, 111))
         self.assertFalse(self.backends.is_cold(found, 114))
 
@@ -83,15 +83,15 @@
         against trying these addresses again each second, which used up the
         retry budget so that calls failed while the new engines were idle.
         """
-        old = self.backends.take(make_record('e1', revision=7), 100)
-        self.backends.take(make_record('e2', revision=8), 100)
+        old = self.backends.apply_record(make_record('e1', revision=7), 100)
+        self.backends.apply_record(make_record('e2', revision=8), 100)
         old.mark_misdirected()
         self.assertEqual(['e2'], self.usable_names())
         # A listing shows the same record again.
-        self.backends.take(make_record('e1', revision=7), 101)
+        self.backends.apply_record(make_record('e1', revision=7), 101)
         self.assertEqual(['e2'], self.usable_names())
         # Its back end is alive and writes the record again.
-        self.backends.take(make_record('e1', revision=9), 102)
+        self.backends.apply_record(make_record('e1', revision=9), 102)
         self.assertEqual(['e1', 'e2'], self.usable_names())
 
     def test_restart_under_the_same_name(self):
@@ -99,11 +99,11 @@
 
         Calls to the old process must not count at the new one.
         """
-        old = self.backends.take(make_record(boot=1), 100)
+        old = self.backends.apply_record(make_record(boot=1), 100)
         old.open_calls = 5
-        self.assertIs(old, self.backends.take(make_record(boot=1), 101))
+        self.assertIs(old, self.backends.apply_record(make_record(boot=1), 101))
         self.assertEqual(
-            0, self.backends.take(make_record(boot=2), 102).open_calls
+            0, self.backends.apply_record(make_record(boot=2), 102).open_calls
         )
 
     def test_stale_report_is_dropped(self):
@@ -112,7 +112,7 @@
         Later calls are added to the last report.  Guards against an engine
         that looks fuller and fuller until it gets no more calls.
         """
-        found = self.backends.take(make_record(), 100)
+        found = self.backends.apply_record(make_record(), 100)
         found.update_state(EngineState(running=7, total_tokens=9), 100)
         found.unreported_tokens = 5000
         found.drop_stale_state(102)
@@ -122,7 +122,7 @@
         self.assertEqual(0, found.unreported_tokens)
 
     def test_stale_report_of_a_leaving_engine_still_counts(self):
-        found = self.backends.take(make_record(), 100)
+        found = self.backends.apply_record(make_record(), 100)
         found.update_state(EngineState(leaving=True), 100)
         found.drop_stale_state(200)
         self.assertEqual([], self.usable_names())
@@ -138,18 +138,18 @@
         self.assertFalse(self.backends.announce(make_record(), 102))
         self.assertEqual(['e1'], self.usable_names())
         self.backends.record_store_result(answered=True, now=110)
-        found = self.backends.take(make_record(boot=3), 111)
+        found = self.backends.apply_record(make_record(boot=3), 111)
         self.assertIsNone(found.announced_at)
-        self.assertEqual([], self.backends.settle(120))
+        self.assertEqual([], self.backends.remove_unregistered(120))
 
     def test_announced_engine_that_never_registers_is_dropped(self):
         self.backends.announce(make_record(), 100)
-        self.assertEqual([], self.backends.settle(101))
-        self.assertEqual(['e1'], self.backends.settle(103))
+        self.assertEqual([], self.backends.remove_unregistered(101))
+        self.assertEqual(['e1'], self.backends.remove_unregistered(103))
 
     def test_engine_that_left_is_not_added_again(self):
         """The process beside an engine announces it until it has left."""
-        self.backends.take(make_record(), 100)
+        self.backends.apply_record(make_record(), 100)
         self.backends.remove('e1', 101)
         self.assertFalse(self.backends.announce(make_record(), 102))
         self.assertEqual([], self.usable_names())
--- a/tests/test_calllimits.py
+++ b/tests/test_calllimits.py
@@ -31,7 +31,7 @@
         self._pending_reports = []
         self.sent = []
         for limit in self._limits:
-            limit.take(rate, 0, 0)
+            limit.update(rate, 0, 0)
             self._hold_back(limit)
 
     def run(self, demand, seconds):
@@ -103,17 +103,17 @@
     def test_limit_of_zero(self):
         """Guards against never finding out that a limit of 0 is lifted."""
         limit = CallLimit()
-        limit.take(0.0, 0, 0)
+        limit.update(0.0, 0, 0)
         self.assertEqual(10, limit.seconds_until_call(0))
         limit.count(1, 10)
         self.assertEqual(10, limit.seconds_until_call(10))
 
     def test_outdated_report_is_ignored(self):
         limit = CallLimit()
-        self.assertTrue(limit.take(2.0, 5, 5))
-        self.assertFalse(limit.take(None, 4, 6))
+        self.assertTrue(limit.update(2.0, 5, 5))
+        self.assertFalse(limit.update(None, 4, 6))
         self.assertEqual(2, limit.rate)
-        self.assertTrue(limit.take(None, 6, 6))
+        self.assertTrue(limit.update(None, 6, 6))
         self.assertEqual(0, limit.seconds_until_call(6))
 
 
@@ -127,7 +127,7 @@
         entries = EntryCount(5)
         backends = BackendSet(entries)
         record = BackendRecord('i-1', 's', 'h:1', 'd1', 8)
-        self.backend = backends.take(record, self.clock.monotonic())
+        self.backend = backends.apply_record(record, self.clock.monotonic())
         self.limits = CallLimits(
             backends, entries, self.clock, random.Random(1), self.send
         )
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from primrosewood.claims import (
-    ClaimKeeper,
     ClaimProposal,
+    ClaimWriter,
     apply_proposals,
     parse_page,
     serialise_page,
@@ -96,24 +96,24 @@
             for number in range(16_000)
         }
         await store.put('primrosewood/claims/0', serialise_page(page))
-        keeper = ClaimKeeper(
+        claim_writer = ClaimWriter(
             store,
             SystemClock(),
             ClaimSettings(shards=1, period_seconds=0.01),
-            patience=0.3,
+            timeout_seconds=0.3,
         )
         with self.assertRaises(StoreUnavailableError):
-            await keeper.claim(
+            await claim_writer.claim(
                 ClaimProposal(make_claim('f' * 32, 'new', at=2**40))
             )
-        old = await keeper.claim(
+        old = await claim_writer.claim(
             ClaimProposal(make_claim(f'{7:032x}', 'x', at=2**40))
         )
         self.assertFalse(old.granted)
         self.assertEqual('7', old.record.nonce)
 
 
-class KeeperTest(unittest.TestCase):
+class ClaimWriterTest(unittest.TestCase):
     """Several entries claim the same keys while the store has faults."""
 
     @settings(derandomize=True, max_examples=60, deadline=None)
@@ -133,27 +133,32 @@
 
     async def race(self, faults, claims):
         store = FaultyStore(faults)
-        keepers = [
-            ClaimKeeper(
+        claim_writers = [
+            ClaimWriter(
                 store,
                 SystemClock(),
                 ClaimSettings(shards=2, period_seconds=0),
-                patience=2,
+                timeout_seconds=2,
             )
             for _ in range(3)
         ]
         proposals = [
             (
-                keepers[keeper],
+                claim_writers[claim_writer],
                 ClaimProposal(make_claim(f'{key:08x}', f'n{number}', at=2**40)),
             )
-            for number, (keeper, key) in enumerate(claims)
+            for number, (claim_writer, key) in enumerate(claims)
         ]
         results = await asyncio.gather(
-            *(keeper.claim(proposal) for keeper, proposal in proposals)
+            *(
+                claim_writer.claim(proposal)
+                for claim_writer, proposal in proposals
+            )
         )
         winners = {}
-        for (_keeper, proposal), result in zip(proposals, results, strict=True):
+        for (_claim_writer, proposal), result in zip(
+            proposals, results, strict=True
+        ):
             digest = proposal.record.digest
             nonce = winners.setdefault(digest, result.record.nonce)
             self.assertEqual(nonce, result.record.nonce)
--- a/tests/test_enginepace.py
+++ b/tests/test_enginepace.py
@@ -52,8 +52,8 @@
 
     def setUp(self):
         self.ends = ExpectedEnds()
-        self.ends.take('short', 2016)
-        self.ends.take('long', 4000)
+        self.ends.add('short', 2016)
+        self.ends.add('long', 4000)
         self.runs = [
             EngineRun('short', 2004, 1),
             EngineRun('long', 3100, 9),
--- a/tests/test_enginereports.py
+++ b/tests/test_enginereports.py
@@ -19,7 +19,7 @@
 
     def setUp(self):
         self.reports = EngineReports()
-        self.reports.take(IDLE, 0)
+        self.reports.record_state(IDLE, 0)
         self.send_if_due(0)
 
     def send_if_due(self, now, entries=4):
@@ -36,13 +36,13 @@
         report = self.reports.make(4)
         self.assertEqual((1, 3000), (report.running, report.unread_tokens))
         shown = EngineState(running=1, unread_tokens=3000, total_tokens=27_000)
-        self.reports.take(shown, 1.1)
+        self.reports.record_state(shown, 1.1)
         report = self.reports.make(4)
         self.assertEqual((1, 3000), (report.running, report.unread_tokens))
 
     def test_figures_from_before_a_call_do_not_hide_it(self):
         self.reports.announce(3000, 1.0)
-        self.reports.take(IDLE, 0.99)
+        self.reports.record_state(IDLE, 0.99)
         self.assertEqual(3000, self.reports.make(4).unread_tokens)
 
     def test_reported_at_once_when_a_call_arrives_starts_or_ends(self):
@@ -54,13 +54,13 @@
             ),
             start=1,
         ):
-            self.reports.take(state, now / 10)
+            self.reports.record_state(state, now / 10)
             self.assertTrue(self.send_if_due(now / 10), state)
             self.assertFalse(self.send_if_due(now / 10 + 0.01), state)
 
     def test_growing_generations_are_not_reported(self):
         grown = EngineState(used_tokens=200, total_tokens=27_000)
-        self.reports.take(grown, 0.1)
+        self.reports.record_state(grown, 0.1)
         self.assertFalse(self.send_if_due(0.1))
 
     def test_heartbeat_is_sent_without_changes(self):
@@ -77,7 +77,7 @@
         for step in range(1000):
             now = step / 100
             running = EngineState(running=step % 7, total_tokens=27_000)
-            self.reports.take(running, now)
+            self.reports.record_state(running, now)
             sent += self.send_if_due(now, entries=330)
         # Two heartbeats a second, and the credit from a quiet time.
         self.assertLessEqual(sent, 20 + 20 + 5)
--- a/tests/test_platform_engines.py
+++ b/tests/test_platform_engines.py
@@ -73,7 +73,7 @@
             organisation='o1',
             arrived=now,
             deadline=now + 2,
-            patience=now + 1,
+            caller_deadline=now + 1,
             **{
                 'method': 'GET',
                 'target': '/x',
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -101,12 +101,12 @@
         self.clock = SystemClock()
         tables = TableHolder()
         traits = ServiceTraits('s', engine=EngineTraits(8, 30_000, 4, True))
-        tables.take(RouteTable(1, (), {'s': traits}))
+        tables.replace_if_newer(RouteTable(1, (), {'s': traits}))
         entries = EntryCount(1)
         self.backends = BackendSet(entries)
         for name in ('e1', 'e2', 'e3'):
             record = BackendRecord(name, 's', f'{name}:80', 'd1', 8)
-            self.backends.take(record, self.clock.monotonic())
+            self.backends.apply_record(record, self.clock.monotonic())
         self.notices = MoveNotices()
         self.transport = ScriptedTransport()
         self.sink = Sink()
@@ -144,7 +144,7 @@
             organisation='o',
             arrived=now,
             deadline=now + seconds,
-            patience=now + seconds,
+            caller_deadline=now + seconds,
             size=GenerationSize(1000, 400) if route.streaming else None,
         )
 
@@ -307,7 +307,7 @@
         for rate, backend in zip(
             (0.5, 0.25, 0.2), self.backends.backends, strict=True
         ):
-            backend.call_limit.take(rate, now, now)
+            backend.call_limit.update(rate, now, now)
         call = self.make_call(RouteKind.non_idempotent)
         with self.assertRaises(RequestFailedError) as caught:
             await self.answer(call)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -55,6 +55,6 @@
         holder = TableHolder()
         for version in versions:
             before = holder.version
-            holder.take(RouteTable(version, ()))
+            holder.replace_if_newer(RouteTable(version, ()))
             self.assertGreaterEqual(holder.version, before)
         self.assertEqual(max(versions), holder.version)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -11,7 +11,12 @@
 from primrosewood.gen_wire import Load
 from primrosewood.membership import EndpointView
 from primrosewood.retries import RetryBudget, jitter
-from primrosewood.routing import POLICIES, PressurePolicy, Work, make_policy
+from primrosewood.routing import (
+    POLICIES,
+    PressurePolicy,
+    RoutingInput,
+    make_policy,
+)
 
 
 def make_view(number, running=0, limit=10, memory=0):
@@ -30,14 +35,14 @@
         usable = [make_view(number) for number in range(count)]
         policy = make_policy(name, random.Random(seed))
         for _ in range(5):
-            choice = policy.choose(usable, Work('t/o', 'prompt'))
+            choice = policy.choose(usable, RoutingInput('t/o', 'prompt'))
             self.assertIn(choice.endpoint, usable)
 
     def test_loaded_endpoint_is_not_chosen(self):
         usable = [make_view(0, running=10), make_view(1, running=1)]
         policy = PressurePolicy(random.Random(1))
         for _ in range(20):
-            choice = policy.choose(usable, Work('t/o'))
+            choice = policy.choose(usable, RoutingInput('t/o'))
             self.assertEqual('e1', choice.endpoint.name)
 
     def test_own_offers_count_until_next_report(self):
@@ -56,7 +61,7 @@
         usable = [make_view(number, running=number % 3) for number in range(30)]
         chosen = Counter(
             PressurePolicy(random.Random(seed))
-            .choose(usable, Work('t/o'))
+            .choose(usable, RoutingInput('t/o'))
             .endpoint.name
             for seed in range(100)
         )
@@ -65,20 +70,20 @@
     def test_same_prefix_prefers_its_endpoint_until_loaded(self):
         usable = [make_view(number) for number in range(10)]
         policy = PressurePolicy(random.Random(1))
-        work = Work('t/o', 'You draft certificates. ' * 20)
-        first = policy.choose(usable, work).endpoint
-        again = policy.choose(usable, work)
+        routing_input = RoutingInput('t/o', 'You draft certificates. ' * 20)
+        first = policy.choose(usable, routing_input).endpoint
+        again = policy.choose(usable, routing_input)
         self.assertEqual((first, 'prefix'), (again.endpoint, again.why))
         first.update_load(Load(running=9, queued=0, limit=10))
-        self.assertIsNot(first, policy.choose(usable, work).endpoint)
+        self.assertIsNot(first, policy.choose(usable, routing_input).endpoint)
 
     def test_prefix_of_a_removed_endpoint(self):
         usable = [make_view(number) for number in range(3)]
         policy = PressurePolicy(random.Random(1))
-        work = Work('t/o', 'prompt')
-        first = policy.choose(usable, work).endpoint
+        routing_input = RoutingInput('t/o', 'prompt')
+        first = policy.choose(usable, routing_input).endpoint
         usable.remove(first)
-        self.assertIn(policy.choose(usable, work).endpoint, usable)
+        self.assertIn(policy.choose(usable, routing_input).endpoint, usable)
 
 
 class RetryTest(unittest.TestCase):
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -33,7 +33,7 @@
         organisation='o',
         arrived=0,
         deadline=39,
-        patience=39,
+        caller_deadline=39,
         size=size,
     )
 
@@ -66,8 +66,8 @@
         self.window.begin(100)
         self.assertFalse(self.window.must_buffer(label, 99))
         self.assertFalse(self.window.must_buffer(label, 102.5))
-        for judged in (102.6, 105.8, 107.4):
-            self.assertTrue(self.window.must_buffer(label, judged))
+        for now in (102.6, 105.8, 107.4):
+            self.assertTrue(self.window.must_buffer(label, now))
         plain = make_call(size=None, route=PLAIN_ROUTE)
         self.assertFalse(self.window.must_buffer(plain, 107))
 
