--- a/primrosewood/claims.py
+++ b/primrosewood/claims.py
@@ -174,7 +174,7 @@
         Wall clock by which old claims expire.
     settings
         Number of shards, period between writes, and retention of claims.
-    patience
+    timeout_seconds
         Timeout in seconds for writing a claim.
     """
 
@@ -183,13 +183,13 @@
         store: KeyValue,
         clock: Clock,
         settings: ClaimSettings,
-        patience: float,
+        timeout_seconds: float,
     ) -> None:
         """Start without pages; each is read on its first use."""
         self._store = store
         self._clock = clock
         self._settings = settings
-        self._timeout_seconds = patience
+        self._timeout_seconds = timeout_seconds
         self._shards: dict[int, _Shard] = {}
         self._swaps = 0
 
