--- a/primrosewood/claimrouter.py
+++ b/primrosewood/claimrouter.py
@@ -12,7 +12,7 @@
 import xxhash
 
 from . import gen_wire as wire
-from .claims import ClaimWriter, ClaimProposal, ClaimResult, shard_of
+from .claims import ClaimProposal, ClaimResult, ClaimWriter, shard_of
 from .errors import StoreUnavailableError, WireError
 from .fleet import ENTRY_SERVICE, Fleet
 from .gen_wire import ClaimRecord
@@ -45,7 +45,7 @@
     def __init__(
         self,
         name: str,
-        keeper: ClaimWriter,
+        claim_writer: ClaimWriter,
         fleet: Fleet,
         links: LinkPool,
         shards: int,
@@ -74,7 +74,7 @@
                 return reply
         # The writer may have written the claim without answering. The nonce
         # in the page then identifies the claim as this entry's.
-        return await self._keeper.claim(proposal)
+        return await self._claim_writer.claim(proposal)
 
     async def look_up(self, digest: str) -> ClaimRecord | None:
         """Read the claim in force for a key, None when there is none."""
--- a/primrosewood/placement.py
+++ b/primrosewood/placement.py
@@ -297,9 +297,9 @@
         """Release the claim of an attempt that was refused for good.
 
         It is replaced by a claim without an endpoint, which any retry may
-        replace in turn.
-        Otherwise a later retry would have to ask the endpoint that refused,
-        and would get an unknown outcome once that endpoint is replaced.
+        replace in turn. Otherwise a later retry would have to ask the
+        endpoint that refused, and would get an unknown outcome once that
+        endpoint is replaced.
         """
         attempt = self._progress.current
         claim = attempt.claim
