--- a/primrosewood/claims.py
+++ b/primrosewood/claims.py
@@ -174,7 +174,7 @@
         Wall clock by which old claims expire.
     settings
         Number of shards, period between writes, and retention of claims.
-    patience
+    timeout_seconds
         Timeout in seconds for writing a claim.
     """
 
@@ -183,13 +183,13 @@
         store: KeyValue,
         clock: Clock,
         settings: ClaimSettings,
-        patience: float,
+        timeout_seconds: float,
     ) -> None:
         """Start without pages; each is read on its first use."""
         self._store = store
         self._clock = clock
         self._settings = settings
-        self._timeout_seconds = patience
+        self._timeout_seconds = timeout_seconds
         self._shards: dict[int, _Shard] = {}
         self._swaps = 0
 
@@ -282,7 +282,7 @@
         stored = serialise_page(merged)
         if len(stored) > _MAX_PAGE_BYTES:
             # The service refuses larger values, so sending this one is of no
-            # use. New claims wait until old ones expire.
+            # use. New claims of this shard wait until old ones expire.
             raise StoreUnavailableError('the page of claims is full')
         self._swaps += 1
         swap = await self._store.swap(shard.name, stored, shard.revision)
--- a/primrosewood/entry.py
+++ b/primrosewood/entry.py
@@ -167,17 +167,17 @@
     def _make_claim_router(self) -> ClaimRouter:
         settings = self._settings
         timeout_seconds = settings.timing.store_timeout_seconds
-        claim_keeper = ClaimWriter(
+        claim_writer = ClaimWriter(
             self._key_value, self._clock, settings.claims, timeout_seconds
         )
-        self._metrics.watch('claim_swaps', lambda: claim_keeper.swaps)
+        self._metrics.watch('claim_swaps', lambda: claim_writer.swaps)
         return ClaimRouter(
             name=settings.name,
-            keeper=claim_keeper,
+            claim_writer=claim_writer,
             fleet=self._fleet,
             links=self._links,
             shards=settings.claims.shards,
-            patience=timeout_seconds * _PEER_TIMEOUT_SHARE,
+            timeout_seconds=timeout_seconds * _PEER_TIMEOUT_SHARE,
         )
 
     def _make_member_record(self) -> MemberRecord:
