--- a/primrosewood/enginemover.py
+++ b/primrosewood/enginemover.py
@@ -60,6 +60,7 @@
         self._mean_copy_seconds = _INITIAL_COPY_SECONDS
         self._reading: EngineReading | None = None
         self._capacity_reply: asyncio.Future[list[MoveTarget]] | None = None
+        # Names of generations that need no further move.
         self._settled: set[str] = set()
         self._move_task: asyncio.Task | None = None
         self._stopping = False
@@ -81,7 +82,7 @@
 
     def record_expected_tokens(self, name: str, tokens: int) -> None:
         """Record how many tokens a generation is expected to reach."""
-        self._expected_ends.take(name, tokens)
+        self._expected_ends.add(name, tokens)
 
     def update(self, reading: EngineReading) -> None:
         """Handle a new reading; start moves when the engine is leaving."""
