--- a/primrosewood/entry.py
+++ b/primrosewood/entry.py
@@ -167,7 +167,7 @@
     def _make_claim_router(self) -> ClaimRouter:
         settings = self._settings
         timeout_seconds = settings.timing.store_timeout_seconds
-        claim_keeper = ClaimWriter(
+        claim_writer = ClaimWriter(
             self._key_value, self._clock, settings.claims, timeout_seconds
         )
         self._metrics.watch('claim_swaps', lambda: claim_writer.swaps)
