--- a/bench/herd.py
+++ b/bench/herd.py
@@ -22,7 +22,7 @@
 )
 from primrosewood.directcalls import BackendAttempt
 from primrosewood.enginereports import EngineReports, state_from_report
-from primrosewood.shares import ColdLimit, EntryCount
+from primrosewood.sharedlimits import ColdLimit, EntryCount
 
 from .results import CaseResult
 
--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -4,8 +4,8 @@
 
 from primrosewood.admission import Admission
 from primrosewood.clock import Clock
-from primrosewood.lengths import HORIZONS, LengthForecast, LengthPredictor
 from primrosewood.memory import MemoryReservation, MemoryTracker
+from primrosewood.outputlengths import HORIZONS, LengthForecast, LengthPredictor
 from primrosewood.warmup import ConcurrencyTargets
 
 _RESERVE_SHARE = 0.01
--- a/primrosewood/admission.py
+++ b/primrosewood/admission.py
@@ -9,8 +9,8 @@
 from .errors import ErrorKind, NotRunError
 from .fairness import FairQueue, QueuedRequest
 from .gen_wire import Load
-from .lengths import LengthPredictor
 from .memory import MemoryReservation, MemoryTracker
+from .outputlengths import LengthPredictor
 from .warmup import ConcurrencyLimit, ConcurrencyTargets
 
 __all__ = ('Admission', 'AdmissionRequest')
--- a/primrosewood/backendset.py
+++ b/primrosewood/backendset.py
@@ -3,8 +3,8 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from .enginepace import TOKEN_SECONDS
-from .shares import CallLimit, ColdLimit, EntryCount
+from .enginespeed import TOKEN_SECONDS
+from .sharedlimits import CallLimit, ColdLimit, EntryCount
 
 __all__ = ('Backend', 'BackendRecord', 'BackendSet', 'EngineState')
 
--- a/primrosewood/balancing.py
+++ b/primrosewood/balancing.py
@@ -7,7 +7,7 @@
 from .backendset import Backend
 from .clock import RandomSource
 from .directcalls import BackendAttempt
-from .enginepace import PROMPT_TOKENS_PER_SECOND, TOKEN_SECONDS
+from .enginespeed import PROMPT_TOKENS_PER_SECOND, TOKEN_SECONDS
 
 __all__ = (
     'Balancer',
--- a/primrosewood/calllimits.py
+++ b/primrosewood/calllimits.py
@@ -13,7 +13,7 @@
 from .clock import Clock, RandomSource
 from .codec import Message
 from .logs import log_decision
-from .shares import CallLimit, EntryCount
+from .sharedlimits import CallLimit, EntryCount
 
 __all__ = ('CallLimits',)
 
--- a/primrosewood/callplacement.py
+++ b/primrosewood/callplacement.py
@@ -14,7 +14,7 @@
 from .callprogress import CallProgress
 from .clock import Clock, RandomSource
 from .directcalls import BackendAttempt, DirectCall
-from .enginepace import PromptRateEstimator
+from .enginespeed import PromptRateEstimator
 from .errors import (
     BackendCutError,
     ErrorKind,
@@ -22,11 +22,11 @@
     NotRunError,
     RequestFailedError,
 )
-from .lengths import LengthPredictor
 from .logs import log_decision
 from .metrics import Metrics
+from .outputlengths import LengthPredictor
 from .routes import EngineTraits, TableHolder
-from .shares import EntryCount, RepeatBudget, RepeatRule
+from .sharedlimits import EntryCount, RepeatBudget, RepeatRule
 
 __all__ = ('CallPlacement', 'PlacementDependencies', 'RelayRules')
 
--- a/primrosewood/enginekeeper.py
+++ b/primrosewood/enginekeeper.py
@@ -13,8 +13,8 @@
 from .clock import Clock, RandomSource
 from .codec import Message
 from .enginemover import EngineMover
-from .enginepace import TokenTimeEstimator
 from .enginereports import EngineReports
+from .enginespeed import TokenTimeEstimator
 from .errors import BackendCutError
 from .link import Link
 from .logs import log_decision, log_event
--- a/primrosewood/engineview.py
+++ b/primrosewood/engineview.py
@@ -13,7 +13,7 @@
 from .moves import MoveNotice, MoveNotices
 from .peerlink import LinkIdentity, PeerLink
 from .routes import TableHolder
-from .shares import EntryCount
+from .sharedlimits import EntryCount
 
 __all__ = ('EngineView',)
 
--- a/primrosewood/memory.py
+++ b/primrosewood/memory.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import dataclass
 
-from .lengths import HORIZONS, LengthPredictor
+from .outputlengths import HORIZONS, LengthPredictor
 
 __all__ = ('MemoryTracker', 'MemoryReservation')
 
--- a/primrosewood/platform/entry.py
+++ b/primrosewood/platform/entry.py
@@ -31,8 +31,8 @@
 from ..process import spawn
 from ..relay import Relay, RelayDependencies
 from ..routes import CallerLimits, TableHolder
+from ..sharedlimits import EntryCount, RepeatRule
 from ..sharedreader import SharedReader
-from ..shares import EntryCount, RepeatRule
 from ..stopping import StopWindow
 from ..storeview import StoreView
 from ..unsent import has_unsent_data
--- a/primrosewood/stopping.py
+++ b/primrosewood/stopping.py
@@ -3,7 +3,7 @@
 import math
 
 from .directcalls import DirectCall, GenerationSize
-from .enginepace import PROMPT_TOKENS_PER_SECOND, TOKEN_SECONDS
+from .enginespeed import PROMPT_TOKENS_PER_SECOND, TOKEN_SECONDS
 from .identity import digest_key
 from .logs import log_decision
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,8 +7,12 @@
 
 from primrosewood.admission import Admission, AdmissionRequest
 from primrosewood.errors import NotRunError
-from primrosewood.lengths import HORIZONS, LengthHistogram, LengthPredictor
 from primrosewood.memory import MemoryReservation, MemoryTracker
+from primrosewood.outputlengths import (
+    HORIZONS,
+    LengthHistogram,
+    LengthPredictor,
+)
 from primrosewood.warmup import ConcurrencyTargets
 
 
--- a/tests/test_backendset.py
+++ b/tests/test_backendset.py
@@ -3,7 +3,7 @@
 import unittest
 
 from primrosewood.backendset import BackendRecord, BackendSet, EngineState
-from primrosewood.shares import EntryCount
+from primrosewood.sharedlimits import EntryCount
 
 
 def make_record(name='e1', domain='d1', **fields):
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -16,7 +16,7 @@
     ReservedTokens,
 )
 from primrosewood.directcalls import BackendAttempt
-from primrosewood.shares import ColdLimit, EntryCount
+from primrosewood.sharedlimits import ColdLimit, EntryCount
 
 MEMORY = 34_300
 LONG_ANSWER = ReservedTokens(3079, 940)
--- a/tests/test_calllimits.py
+++ b/tests/test_calllimits.py
@@ -12,7 +12,7 @@
 from primrosewood.backendset import BackendRecord, BackendSet
 from primrosewood.calllimits import CallLimits
 from primrosewood.clock import SystemClock
-from primrosewood.shares import CallLimit, EntryCount
+from primrosewood.sharedlimits import CallLimit, EntryCount
 
 from .windows import most_in_window
 
--- a/tests/test_enginepace.py
+++ b/tests/test_enginespeed.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from primrosewood.enginepace import (
+from primrosewood.enginespeed import (
     PROMPT_TOKENS_PER_SECOND,
     PromptRateEstimator,
     TokenTimeEstimator,
--- a/tests/test_platform_engines.py
+++ b/tests/test_platform_engines.py
@@ -12,7 +12,7 @@
 from primrosewood.errors import BackendCutError, NotRunError
 from primrosewood.platform.engines import HttpTransport
 from primrosewood.routes import Route, RouteKind, Target
-from primrosewood.shares import ColdLimit, EntryCount
+from primrosewood.sharedlimits import ColdLimit, EntryCount
 
 STATUS_LINE = b'HTTP/1.1 200 OK\r\n'
 RESPONSE_HEADERS = (
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -35,7 +35,7 @@
     TableHolder,
     Target,
 )
-from primrosewood.shares import EntryCount
+from primrosewood.sharedlimits import EntryCount
 
 REFUSED = NotRunError(ErrorKind.overloaded)
 CUT = BackendCutError('cut')
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from primrosewood.shares import (
+from primrosewood.sharedlimits import (
     ColdLimit,
     EntryCount,
     RepeatBudget,
