--- a/bench/herd.py
+++ b/bench/herd.py
@@ -22,7 +22,7 @@
 )
 from primrosewood.directcalls import BackendAttempt
 from primrosewood.enginereports import EngineReports, state_from_report
-from primrosewood.shares import ColdLimit, EntryCount
+from primrosewood.sharedlimits import ColdLimit, EntryCount
 
 from .results import CaseResult
 
@@ -349,7 +349,7 @@
         state = engine.state(now)
         if not self._mode.includes_unread:
             state = replace(state, unread_tokens=0)
-        engine.reports.take(state, now)
+        engine.reports.record_state(state, now)
         self._send_report_if_due(now, engine)
 
     def _send_report_if_due(self, now: float, engine: _Engine) -> None:
--- a/primrosewood/engineview.py
+++ b/primrosewood/engineview.py
@@ -13,7 +13,7 @@
 from .moves import MoveNotice, MoveNotices
 from .peerlink import LinkIdentity, PeerLink
 from .routes import TableHolder
-from .shares import EntryCount
+from .sharedlimits import EntryCount
 
 __all__ = ('EngineView',)
 
@@ -221,7 +221,7 @@
 
     def _handle_report(self, address: str, report: wire.EngineReport) -> None:
         self._reported_entries[address] = report.entries
-        self._entries.take(max(self._reported_entries.values()))
+        self._entries.update(max(self._reported_entries.values()))
         backend = self._backends.find_address(address)
         if backend is None:
             return
--- a/primrosewood/placement.py
+++ b/primrosewood/placement.py
@@ -24,7 +24,7 @@
 from .progress import EntryContext, Progress
 from .recovery import Recovery
 from .retries import jitter
-from .routing import Choice, Work
+from .routing import Choice, RoutingInput
 
 __all__ = ('Placement',)
 
@@ -166,8 +166,10 @@
         usable = self._usable_endpoints()
         if not usable:
             raise self._final_error()
-        work = Work(request.organisation.full_name, request.prompt)
-        choice = context.policy.choose(usable, work)
+        routing_input = RoutingInput(
+            request.organisation.full_name, request.prompt
+        )
+        choice = context.policy.choose(usable, routing_input)
         choice.endpoint.offered += 1
         context.metrics.count('offers')
         self._log_choice(choice, len(usable))
@@ -192,7 +194,8 @@
 
     def _final_error(self) -> RequestFailedError:
         if self._progress.in_doubt:
-            # An attempt may have run, so the error must not deny it.
+            # An attempt may have run, so the error must not state that the
+            # request did not run.
             return RequestFailedError(ErrorKind.outcome_unknown)
         refusal = self._progress.refusal
         if refusal is None:
@@ -293,8 +296,10 @@
     def _release_claim(self) -> None:
         """Release the claim of an attempt that was refused for good.
 
-        Otherwise a later retry would have to ask the endpoint that refused,
-        and would get an unknown outcome once that endpoint is replaced.
+        It is replaced by a claim without an endpoint, which any retry may
+        replace in turn. Otherwise a later retry would have to ask the
+        endpoint that refused, and would get an unknown outcome once that
+        endpoint is replaced.
         """
         attempt = self._progress.current
         claim = attempt.claim
--- a/primrosewood/platform/engines.py
+++ b/primrosewood/platform/engines.py
@@ -216,7 +216,9 @@
         self, call: DirectCall, backend_attempt: BackendAttempt
     ) -> CIMultiDict[str]:
         request_headers = CIMultiDict(call.headers)
-        remaining = min(call.patience, call.deadline) - self._clock.monotonic()
+        remaining = (
+            min(call.caller_deadline, call.deadline) - self._clock.monotonic()
+        )
         request_headers[headers.DEADLINE] = str(
             max(0, int(remaining * _MILLISECONDS))
         )
@@ -251,7 +253,7 @@
     # Prompt tokens of the first request in the queue.
     next_token: int = 0
     state: str = 'ready'
-    # Time until the engine is taken away, None where it does not say.
+    # Time until the engine is taken away, None if it has given no notice.
     leaves_ms: float | None = None
     # A row for each generation past prefill: name, tokens in the KV cache,
     # events sent, priority.
@@ -401,7 +403,7 @@
     An engine reserves KV cache for a whole prompt when it admits the request,
     so what the reported generations do not use belongs to prompts in prefill.
     The report has the size of the first prompt in the queue only; the others
-    are taken to be as long.
+    are assumed to be as long.
     """
     queued_tokens = report.queued * report.next_token
     if report.running <= len(runs):
@@ -452,7 +454,7 @@
     """Return why a response is not valid, empty if it is."""
     received = response.headers
     if response.status in _NOT_EXECUTED_STATUSES:
-        return f'status {response.status} without the not-executed header'
+        return f'status {response.status} without its mark'
     if _is_mismatched(call, response):
         return 'an answer to another call'
     if response.status not in _SUCCESS_STATUSES:
@@ -461,7 +463,7 @@
         headers.RESPONSE_SEAL not in received
         or headers.ATTEMPT_ID not in received
     ):
-        return 'a success without the response seal'
+        return 'a success without its seal'
     if 'Content-Encoding' in received:
-        return 'an unexpected Content-Encoding'
+        return 'an encoded answer'
     return ''
--- a/primrosewood/stopping.py
+++ b/primrosewood/stopping.py
@@ -3,7 +3,7 @@
 import math
 
 from .directcalls import DirectCall, GenerationSize
-from .enginepace import PROMPT_TOKENS_PER_SECOND, TOKEN_SECONDS
+from .enginespeed import PROMPT_TOKENS_PER_SECOND, TOKEN_SECONDS
 from .identity import digest_key
 from .logs import log_decision
 
@@ -86,7 +86,7 @@
         self._ends_at = now
 
     def admits(self, call: DirectCall, answer_tokens: int, now: float) -> bool:
-        """Return whether a call may begin, and log a decision in a stop.
+        """Return whether a call may begin; log the decision during a stop.
 
         Parameters
         ----------
@@ -132,8 +132,9 @@
         """Return whether a stream is sent only once it is complete.
 
         A stream that was admitted late ends before the process at any usual
-        decoding speed, but its engine may still stall or leave.  Part of an
-        answer is worse for the caller than an error.
+        decoding speed, but its engine may still stall or leave, which only the
+        end of the stream rules out.  Part of an answer is worse for the caller
+        than an error.
 
         Parameters
         ----------
