--- a/primrosewood/attempts.py
+++ b/primrosewood/attempts.py
@@ -5,7 +5,7 @@
 
 from .jobs import GenerationJob, Job
 
-__all__ = ('AttemptTracker', 'AttemptState')
+__all__ = ('AttemptState', 'AttemptTracker')
 
 
 class AttemptState(StrEnum):
--- a/primrosewood/calllimits.py
+++ b/primrosewood/calllimits.py
@@ -19,7 +19,7 @@
 
 # Calls to one back end within this time are reported in one message.
 _BATCH_SECONDS = 0.01
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 
 
 class CallLimits:
@@ -80,7 +80,7 @@
         backend = self._backends.find(report.endpoint)
         if backend is not None:
             self._update_limit(
-                backend, report.rate, report.age_ms / _MILLISECONDS
+                backend, report.rate, report.age_ms / _MS_PER_SECOND
             )
             self._count(backend, report.calls)
 
@@ -129,7 +129,7 @@
             wire.LimitTold(
                 endpoint=backend.name,
                 rate=limit.rate,
-                age_ms=int((now - limit.reported_at) * _MILLISECONDS),
+                age_ms=int((now - limit.reported_at) * _MS_PER_SECOND),
                 calls=calls,
             )
         )
--- a/primrosewood/claims.py
+++ b/primrosewood/claims.py
@@ -23,9 +23,9 @@
 
 __all__ = (
     'CLAIMS_PREFIX',
-    'ClaimWriter',
     'ClaimProposal',
     'ClaimResult',
+    'ClaimWriter',
     'apply_proposals',
     'parse_page',
     'serialise_page',
--- a/primrosewood/errors.py
+++ b/primrosewood/errors.py
@@ -7,11 +7,11 @@
 
 __all__ = (
     'ERROR_RESPONSES',
-    'ErrorResponse',
     'AttemptFailedError',
     'BackendCutError',
     'DoubtError',
     'ErrorKind',
+    'ErrorResponse',
     'HistoryLostError',
     'MisdirectedError',
     'NotRunError',
--- a/primrosewood/httperrors.py
+++ b/primrosewood/httperrors.py
@@ -8,7 +8,7 @@
 
 from .errors import ErrorKind, RequestFailedError
 
-__all__ = ('error_body', 'error_response', 'convert_http_exception')
+__all__ = ('convert_http_exception', 'error_body', 'error_response')
 
 
 def error_response(error: RequestFailedError) -> web.Response:
--- a/primrosewood/httpserver.py
+++ b/primrosewood/httpserver.py
@@ -12,9 +12,9 @@
 
 __all__ = (
     'HttpLimits',
+    'close_idle_connections',
     'listen',
     'listen_metrics',
-    'close_idle_connections',
     'split_address',
     'stop_listening',
 )
--- a/primrosewood/memory.py
+++ b/primrosewood/memory.py
@@ -5,7 +5,7 @@
 
 from .outputlengths import HORIZONS, LengthPredictor
 
-__all__ = ('MemoryTracker', 'MemoryReservation')
+__all__ = ('MemoryReservation', 'MemoryTracker')
 
 _MIN_DEVIATIONS = 3.0
 _MAX_DEVIATIONS = 4.0
--- a/primrosewood/moves.py
+++ b/primrosewood/moves.py
@@ -14,8 +14,8 @@
 __all__ = (
     'EngineRun',
     'MoveNotice',
-    'MoveTarget',
     'MoveNotices',
+    'MoveTarget',
     'choose_move_target',
     'plan_moves',
 )
--- a/primrosewood/outputlengths.py
+++ b/primrosewood/outputlengths.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-__all__ = ('HORIZONS', 'LengthPredictor', 'LengthHistogram', 'LengthForecast')
+__all__ = ('HORIZONS', 'LengthForecast', 'LengthHistogram', 'LengthPredictor')
 
 # Numbers of further tokens that a forecast covers.
 HORIZONS = (32, 64, 128, 256, 512, 1024, 2048)
--- a/primrosewood/platform/documents.py
+++ b/primrosewood/platform/documents.py
@@ -32,7 +32,7 @@
 EVACUATED_PREFIX = 'op/evacuate/'
 BACKENDS_PREFIX = 'servers/'
 
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 
 NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
 NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
@@ -85,7 +85,7 @@
     max_header_bytes: NonNegativeInt = CallerLimits().header_bytes
     max_body_bytes: NonNegativeInt = CallerLimits().body_bytes
     header_timeout_ms: NonNegativeFloat = (
-        CallerLimits().header_timeout_seconds * _MILLISECONDS
+        CallerLimits().header_timeout_seconds * _MS_PER_SECOND
     )
 
 
@@ -151,7 +151,7 @@
         limits=CallerLimits(
             table.limits.max_header_bytes,
             table.limits.max_body_bytes,
-            table.limits.header_timeout_ms / _MILLISECONDS,
+            table.limits.header_timeout_ms / _MS_PER_SECOND,
         ),
     )
 
@@ -185,7 +185,7 @@
         failure_domain=record.zone,
         slots=record.slots,
         draining=record.state == 'draining',
-        cold_seconds=record.cold_remaining_ms / _MILLISECONDS,
+        cold_seconds=record.cold_remaining_ms / _MS_PER_SECOND,
         boot=record.born,
         revision=revision,
     )
@@ -199,11 +199,11 @@
         path_prefix=route.path_prefix,
         kind=route.route_kind,
         targets=tuple(targets or (Target(route.service),)),
-        timeout=route.timeout_ms / _MILLISECONDS,
-        objective=route.goal_ms / _MILLISECONDS,
+        timeout=route.timeout_ms / _MS_PER_SECOND,
+        objective=route.goal_ms / _MS_PER_SECOND,
         max_endpoints=max(1, route.max_attempts),
         anonymous=route.anonymous,
-        longest_pause=route.gap_aim_ms / _MILLISECONDS,
+        longest_pause=route.gap_aim_ms / _MS_PER_SECOND,
         resumable=route.resumable and route.route_kind == RouteKind.streaming,
     )
 
--- a/primrosewood/platform/engines.py
+++ b/primrosewood/platform/engines.py
@@ -25,7 +25,7 @@
 __all__ = ('HttpMovableEngine', 'HttpTransport')
 
 _SCHEME = 'http://'
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 # Back ends are a few milliseconds away.  If no connection is established in
 # this time, the back end is down or unreachable; no byte of the call has been
 # written by then.
@@ -220,7 +220,7 @@
             min(call.caller_deadline, call.deadline) - self._clock.monotonic()
         )
         request_headers[headers.DEADLINE] = str(
-            max(0, int(remaining * _MILLISECONDS))
+            max(0, int(remaining * _MS_PER_SECOND))
         )
         request_headers[headers.EXPECTED_BACKEND] = backend_attempt.backend.name
         if call.organisation:
@@ -324,7 +324,7 @@
                 generating=len(runs),
             ),
             runs=runs,
-            leaves_in=leaves_in and leaves_in / _MILLISECONDS,
+            leaves_in=leaves_in and leaves_in / _MS_PER_SECOND,
         )
 
     async def identify(self) -> str:
--- a/primrosewood/platform/headers.py
+++ b/primrosewood/platform/headers.py
@@ -49,7 +49,7 @@
 # The caller's estimate of the answer's tokens.
 _LENGTH_HINT = 'Primrosewood-Length-Hint'
 
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 
 _HOP_BY_HOP_HEADERS = frozenset(
     (
@@ -124,7 +124,7 @@
 def parse_deadline(text: str) -> float | None:
     """Return the seconds that a caller waits, None if absent or invalid."""
     milliseconds = parse_quantity(text)
-    return None if milliseconds is None else milliseconds / _MILLISECONDS
+    return None if milliseconds is None else milliseconds / _MS_PER_SECOND
 
 
 def parse_quantity(text: str) -> float | None:
--- a/primrosewood/platform/store.py
+++ b/primrosewood/platform/store.py
@@ -20,7 +20,7 @@
 
 __all__ = ('PlatformStore',)
 
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 # The service holds a watch request until something changes, at most this long.
 # A watch whose connection was cut without a reset never gets a response; until
 # this timeout shows it, the periodic reads find the changes.
@@ -164,7 +164,7 @@
 
     async def grant(self, seconds: int) -> int:
         """Return a new lease."""
-        body = {'ttl_ms': seconds * _MILLISECONDS}
+        body = {'ttl_ms': seconds * _MS_PER_SECOND}
         answer = await self._send_request('POST', '/kv-lease', json=body)
         return _decode(*answer, _GrantedLease).lease
 
@@ -193,7 +193,7 @@
             'after': str(max(0, since - 1)),
             'wait_ms': str(_WATCH_WAIT_MS),
         }
-        silence_seconds = _WATCH_WAIT_MS / _MILLISECONDS + _WATCH_SLACK_SECONDS
+        silence_seconds = _WATCH_WAIT_MS / _MS_PER_SECOND + _WATCH_SLACK_SECONDS
         while True:
             answer = await self._send_request(
                 'GET', '/kv-watch', query, seconds=silence_seconds
--- a/primrosewood/routing.py
+++ b/primrosewood/routing.py
@@ -18,8 +18,8 @@
     'Policy',
     'PressurePolicy',
     'RoundRobin',
-    'TwoChoices',
     'RoutingInput',
+    'TwoChoices',
     'make_policy',
 )
 
